--- a/src/main/java/loadbalancer/discovery/DiscoveryClient.java
+++ b/src/main/java/loadbalancer/discovery/DiscoveryClient.java
@@ -15,7 +15,8 @@
 public final class DiscoveryClient implements EndpointSource {
 
   /** The time for the first list of a watch at the local agent, in ms. */
-  public static final long AGENT_MILLIS = DiscoveryTimeouts.AGENT_FIRST_LIST_MILLIS;
+  public static final long AGENT_FIRST_LIST_TIMEOUT_MILLIS =
+      DiscoveryTimeouts.AGENT_FIRST_LIST_MILLIS;
 
   private static final Logger LOG = Logger.getLogger(DiscoveryClient.class.getName());
 
--- a/src/test/java/loadbalancer/proxy/StartupTest.java
+++ b/src/test/java/loadbalancer/proxy/StartupTest.java
@@ -107,7 +107,9 @@
         new FakeServer(
             connection -> {
               connection.next();
-              early.set(prepared.await(DiscoveryClient.AGENT_MILLIS / 2, TimeUnit.MILLISECONDS));
+              early.set(
+                  prepared.await(
+                      DiscoveryClient.AGENT_FIRST_LIST_TIMEOUT_MILLIS / 2, TimeUnit.MILLISECONDS));
               connection.write(DiscoveryMessages.watch(ProxyFixture.list(2, false, DRAINING)));
               connection.ends();
             })) {
