--- a/src/main/java/loadbalancer/config/BalancerConfig.java
+++ b/src/main/java/loadbalancer/config/BalancerConfig.java
@@ -20,7 +20,7 @@
  * @param sockets descriptors that the process may have open
  * @param memoryBytes memory that the process may use
  * @param peerListen where messages of other instances arrive; null where instances don't talk
- * @param peers the other instances' addresses
+ * @param instanceAddresses the other instances' addresses
  * @param peersAll the address that reaches all of them; null where there is none
  * @param known the endpoint list as it was when the file was written
  * @param settings the settings of the decisions
@@ -35,7 +35,7 @@
     int sockets,
     long memoryBytes,
     InetSocketAddress peerListen,
-    List<InetSocketAddress> peers,
+    List<InetSocketAddress> instanceAddresses,
     InetSocketAddress peersAll,
     EndpointList known,
     Settings settings,
--- a/src/main/java/loadbalancer/proxy/ProxyServer.java
+++ b/src/main/java/loadbalancer/proxy/ProxyServer.java
@@ -110,7 +110,8 @@
     ProxyComponents.Builder builder = new ProxyComponents.Builder(loop, config.settings(), engines);
     Bootstrap upstreams = upstreamBootstrap(group);
     gossip =
-        new GossipChannel(config.settings().instanceIndex(), config.peers(), config.peersAll());
+        new GossipChannel(
+            config.settings().instanceIndex(), config.instanceAddresses(), config.peersAll());
     boolean pushed = !config.settings().polledDiscovery();
     discovery =
         new DiscoveryWatch(
--- a/src/test/java/loadbalancer/config/BalancerConfigTest.java
+++ b/src/test/java/loadbalancer/config/BalancerConfigTest.java
@@ -41,7 +41,7 @@
     assertEquals(192L << 20, config.memoryBytes());
     assertNull(config.peerListen());
     assertNull(config.peersAll());
-    assertEquals(List.of(), config.peers());
+    assertEquals(List.of(), config.instanceAddresses());
     assertEquals(EndpointList.NONE, config.known());
     assertEquals(5_000_000_000L, config.idleNanos());
     assertFalse(config.loadReports());
