--- a/src/main/java/loadbalancer/decision/RequestLifecycle.java
+++ b/src/main/java/loadbalancer/decision/RequestLifecycle.java
@@ -89,7 +89,7 @@
     recorder.record(request, attempt, end);
     if (request.answered && request.attemptsInFlight == 0) {
       inFlight.remove(request.id());
-    } else if (!request.answered && end.finished()) {
+    } else if (!request.answered && end.isRequestAnswered()) {
       release(request);
     } else if (!request.answered && request.attemptsInFlight == 0) {
       advance(request);
--- a/src/main/java/loadbalancer/decision/api/Event.java
+++ b/src/main/java/loadbalancer/decision/api/Event.java
@@ -45,7 +45,8 @@
    *
    * @param attempt the attempt's index within its request, from 0 in starting order
    * @param latencyNanos time since the attempt was started
-   * @param finished whether the request has its final answer; the first success gives it by itself
+   * @param isRequestAnswered whether the request has its final answer; the first success gives it
+   *     by itself
    * @param loadReport the endpoint's own figures, empty where none came
    */
   record AttemptEnded(
@@ -54,7 +55,7 @@
       long endpointId,
       AttemptStatus status,
       long latencyNanos,
-      boolean finished,
+      boolean isRequestAnswered,
       Map<String, Double> loadReport)
       implements Event {}
 
--- a/src/test/java/loadbalancer/downstream/ClientDisconnectTest.java
+++ b/src/test/java/loadbalancer/downstream/ClientDisconnectTest.java
@@ -114,7 +114,7 @@
       assertEquals(AttemptStatus.REJECTED, engine.next(AttemptEnded.class).status());
       AttemptEnded retry = engine.next(AttemptEnded.class);
       assertEquals(AttemptStatus.NOT_SENT, retry.status());
-      assertTrue(retry.finished(), "no further action of the engine is expected");
+      assertTrue(retry.isRequestAnswered(), "no further action of the engine is expected");
       if (departure == Departure.HALF_CLOSE) {
         assertTrue(client.answer().startsWith("HTTP/1.1 503 "), "it has not run");
       }
--- a/src/test/java/loadbalancer/downstream/ClientHalfCloseTest.java
+++ b/src/test/java/loadbalancer/downstream/ClientHalfCloseTest.java
@@ -44,7 +44,7 @@
             (event, actions) -> {
               if (event instanceof RequestArrived request) {
                 actions.accept(startAttempt(request.requestId(), "s-1"));
-              } else if (event instanceof AttemptEnded ended && !ended.finished()) {
+              } else if (event instanceof AttemptEnded ended && !ended.isRequestAnswered()) {
                 actions.accept(startAttempt(ended.requestId(), "s-1"));
               }
             });
@@ -58,7 +58,7 @@
       signal.countDown();
       AttemptEnded ended = engine.next(AttemptEnded.class);
       assertEquals(AttemptStatus.ERROR, ended.status());
-      assertTrue(ended.finished(), "no further action of the engine is expected");
+      assertTrue(ended.isRequestAnswered(), "no further action of the engine is expected");
       assertTrue(client.answer().startsWith("HTTP/1.1 500 "), "it may have run");
       assertNull(client.answer());
       assertNull(upstream.requests.poll(), "not sent again");
--- a/src/test/java/loadbalancer/proxy/ConnectionCloseTest.java
+++ b/src/test/java/loadbalancer/proxy/ConnectionCloseTest.java
@@ -140,7 +140,7 @@
             }
             out.accept(
                 new StartAttempt(arrived.requestId(), DiscoveryMessages.number("s-1"), LONG));
-          } else if (event instanceof AttemptEnded ended && ended.finished()) {
+          } else if (event instanceof AttemptEnded ended && ended.isRequestAnswered()) {
             // In the turn in which the response was written, and after that.
             try {
               client.getOutputStream().write("GET /api HT".getBytes(StandardCharsets.ISO_8859_1));
@@ -232,7 +232,7 @@
           } else if (event instanceof RequestArrived arrived) {
             out.accept(
                 new StartAttempt(arrived.requestId(), DiscoveryMessages.number("s-1"), LONG));
-          } else if (event instanceof AttemptEnded ended && !ended.finished()) {
+          } else if (event instanceof AttemptEnded ended && !ended.isRequestAnswered()) {
             out.accept(new FailRequest(ended.requestId()));
           }
         });
--- a/src/test/java/loadbalancer/proxy/RemainingTimeTest.java
+++ b/src/test/java/loadbalancer/proxy/RemainingTimeTest.java
@@ -84,7 +84,7 @@
                         arrived.requestId(), DiscoveryMessages.number(further ? "s-1" : "s-2"), 0));
               } else if (event instanceof AttemptEnded ended && further && ended.attempt() == 0) {
                 out.accept(new StartAttempt(ended.requestId(), DiscoveryMessages.number("s-2"), 0));
-              } else if (event instanceof AttemptEnded ended && !ended.finished()) {
+              } else if (event instanceof AttemptEnded ended && !ended.isRequestAnswered()) {
                 out.accept(new FailRequest(ended.requestId()));
               }
             });
@@ -139,7 +139,7 @@
               } else if (event instanceof RequestArrived arrived) {
                 out.accept(
                     new StartAttempt(arrived.requestId(), DiscoveryMessages.number("s-2"), 0));
-              } else if (event instanceof AttemptEnded ended && !ended.finished()) {
+              } else if (event instanceof AttemptEnded ended && !ended.isRequestAnswered()) {
                 out.accept(new FailRequest(ended.requestId()));
               }
             });
--- a/src/test/java/loadbalancer/proxy/RequestDispatcherTest.java
+++ b/src/test/java/loadbalancer/proxy/RequestDispatcherTest.java
@@ -174,7 +174,7 @@
               } else if (event instanceof RequestArrived request) {
                 actions.accept(
                     new StartAttempt(request.requestId(), DiscoveryMessages.number("s-1"), 0));
-              } else if (event instanceof AttemptEnded attempt && !attempt.finished()) {
+              } else if (event instanceof AttemptEnded attempt && !attempt.isRequestAnswered()) {
                 actions.accept(new FailRequest(attempt.requestId()));
               }
             });
--- a/src/test/java/loadbalancer/testing/EventLoopCues.java
+++ b/src/test/java/loadbalancer/testing/EventLoopCues.java
@@ -51,7 +51,7 @@
             actions.accept(
                 new StartAttempt(
                     request.requestId(), DiscoveryMessages.number(endpoint), timeoutNanos));
-          } else if (event instanceof AttemptEnded attempt && !attempt.finished()) {
+          } else if (event instanceof AttemptEnded attempt && !attempt.isRequestAnswered()) {
             actions.accept(new FailRequest(attempt.requestId()));
           }
         });
--- a/src/test/java/loadbalancer/testing/ProxyFixture.java
+++ b/src/test/java/loadbalancer/testing/ProxyFixture.java
@@ -74,7 +74,7 @@
           (event, actions) -> {
             if (event instanceof RequestArrived request) {
               actions.accept(new StartAttempt(request.requestId(), upstreams.get(0), timeoutNanos));
-            } else if (event instanceof AttemptEnded attempt && !attempt.finished()) {
+            } else if (event instanceof AttemptEnded attempt && !attempt.isRequestAnswered()) {
               actions.accept(new FailRequest(attempt.requestId()));
             }
           };
--- a/src/test/java/loadbalancer/upstream/AttemptLimitTest.java
+++ b/src/test/java/loadbalancer/upstream/AttemptLimitTest.java
@@ -62,7 +62,7 @@
                 boolean second = "true".equals(request.tenant());
                 long endpoint = second ? SECOND_ENDPOINT : FIRST_ENDPOINT;
                 out.accept(new StartAttempt(request.requestId(), endpoint, 0));
-              } else if (event instanceof AttemptEnded ended && !ended.finished()) {
+              } else if (event instanceof AttemptEnded ended && !ended.isRequestAnswered()) {
                 out.accept(new FailRequest(ended.requestId()));
               }
             });
--- a/src/test/java/loadbalancer/upstream/ResponseParsingTest.java
+++ b/src/test/java/loadbalancer/upstream/ResponseParsingTest.java
@@ -58,7 +58,7 @@
       String received = client.ask(ProxyFixture.get("t", ""));
       AttemptEnded ended = engine.next(AttemptEnded.class);
       assertEquals(status, ended.status());
-      assertEquals(status == AttemptStatus.SUCCESS, ended.finished());
+      assertEquals(status == AttemptStatus.SUCCESS, ended.isRequestAnswered());
       boolean expected =
           status == AttemptStatus.SUCCESS
               ? received.startsWith("HTTP/1.1 200 ") && received.endsWith("\r\n\r\nok")
