--- a/src/main/java/loadbalancer/downstream/ClientConnection.java
+++ b/src/main/java/loadbalancer/downstream/ClientConnection.java
@@ -250,7 +250,7 @@
   // ---- Responses -------------------------------------------------------------------------------
 
   @Override
-  public boolean isAwaited() {
+  public boolean isResponseAwaited() {
     readPending();
     if (!channel.isActive()) {
       // After a reset, channelInactive follows only once the event in progress has been handled.
--- a/src/main/java/loadbalancer/downstream/ResponseSink.java
+++ b/src/main/java/loadbalancer/downstream/ResponseSink.java
@@ -17,5 +17,5 @@
       HttpResponseStatus status, long retryAfterNanos, CharSequence contentType, ByteBuf content);
 
   /** Whether the client is still connected, by everything that has arrived from it up to now. */
-  boolean isAwaited();
+  boolean isResponseAwaited();
 }
--- a/src/main/java/loadbalancer/proxy/ProxiedRequest.java
+++ b/src/main/java/loadbalancer/proxy/ProxiedRequest.java
@@ -125,7 +125,7 @@
 
   /** Whether its client is there and waits, by everything that has arrived from it up to now. */
   boolean isAwaited() {
-    return !completed && !clientHalfClosed && downstream.response().isAwaited();
+    return !completed && !clientHalfClosed && downstream.response().isResponseAwaited();
   }
 
   /** Completes it without a response; a no-op where it is completed. */
