--- a/src/main/java/loadbalancer/discovery/DiscoveryTimeouts.java
+++ b/src/main/java/loadbalancer/discovery/DiscoveryTimeouts.java
@@ -57,7 +57,7 @@
    * @param drainGraceMillis how long after the agent knows of it a drain has to be heeded; 0 for
    *     unknown
    */
-  public static long agentFirstByteMillis(long drainGraceMillis) {
+  public static long agentFirstByteTimeoutMillis(long drainGraceMillis) {
     return drainGraceMillis <= 0
         ? AGENT_FIRST_LIST_MILLIS
         : Math.min(AGENT_FIRST_LIST_MILLIS, (long) (drainGraceMillis * AGENT_FIRST_BYTE_PART));
--- a/src/main/java/loadbalancer/proxy/DiscoveryWatch.java
+++ b/src/main/java/loadbalancer/proxy/DiscoveryWatch.java
@@ -70,7 +70,8 @@
   /** Where the list is polled, the calls wait in a queue: only the first list counts. */
   private static long firstByteMillis(boolean pushed, long drainGraceNanos) {
     return pushed
-        ? DiscoveryTimeouts.agentFirstByteMillis(TimeUnit.NANOSECONDS.toMillis(drainGraceNanos))
+        ? DiscoveryTimeouts.agentFirstByteTimeoutMillis(
+            TimeUnit.NANOSECONDS.toMillis(drainGraceNanos))
         : Long.MAX_VALUE;
   }
 
--- a/src/test/java/loadbalancer/discovery/DiscoveryTimeoutsTest.java
+++ b/src/test/java/loadbalancer/discovery/DiscoveryTimeoutsTest.java
@@ -54,7 +54,7 @@
   void aCallThatTheAgentPassedOverIsMadeAgainWithinADrainsGrace(long graceMillis) {
     long graceNanos = TimeUnit.MILLISECONDS.toNanos(graceMillis);
     long again =
-        DiscoveryTimeouts.agentFirstByteMillis(graceMillis)
+        DiscoveryTimeouts.agentFirstByteTimeoutMillis(graceMillis)
             + DiscoveryTimeouts.CHECK_INTERVAL_MILLIS
             + AgentRetryPolicy.backoffMillis(MANY, graceNanos);
     assertTrue(again < graceMillis, again + " ms");
