--- a/src/main/java/loadbalancer/config/BalancerConfig.java
+++ b/src/main/java/loadbalancer/config/BalancerConfig.java
@@ -21,7 +21,7 @@
  * @param memoryBytes memory that the process may use
  * @param peerListen where messages of other instances arrive; null where instances don't talk
  * @param instanceAddresses the other instances' addresses
- * @param peersAll the address that reaches all of them; null where there is none
+ * @param broadcastAddress the address that reaches all of them; null where there is none
  * @param known the endpoint list as it was when the file was written
  * @param settings the settings of the decisions
  * @param idleNanos time after which an endpoint may close an idle connection
@@ -36,7 +36,7 @@
     long memoryBytes,
     InetSocketAddress peerListen,
     List<InetSocketAddress> instanceAddresses,
-    InetSocketAddress peersAll,
+    InetSocketAddress broadcastAddress,
     EndpointList known,
     Settings settings,
     long idleNanos,
--- a/src/main/java/loadbalancer/proxy/ProxyServer.java
+++ b/src/main/java/loadbalancer/proxy/ProxyServer.java
@@ -111,7 +111,9 @@
     Bootstrap upstreams = upstreamBootstrap(group);
     gossip =
         new GossipChannel(
-            config.settings().instanceIndex(), config.instanceAddresses(), config.peersAll());
+            config.settings().instanceIndex(),
+            config.instanceAddresses(),
+            config.broadcastAddress());
     boolean pushed = !config.settings().polledDiscovery();
     discovery =
         new DiscoveryWatch(
--- a/src/test/java/loadbalancer/config/BalancerConfigTest.java
+++ b/src/test/java/loadbalancer/config/BalancerConfigTest.java
@@ -40,7 +40,7 @@
     assertEquals(1024, config.sockets());
     assertEquals(192L << 20, config.memoryBytes());
     assertNull(config.peerListen());
-    assertNull(config.peersAll());
+    assertNull(config.broadcastAddress());
     assertEquals(List.of(), config.instanceAddresses());
     assertEquals(EndpointList.NONE, config.known());
     assertEquals(5_000_000_000L, config.idleNanos());
