--- a/src/main/java/loadbalancer/decision/api/ServiceContract.java
+++ b/src/main/java/loadbalancer/decision/api/ServiceContract.java
@@ -4,8 +4,8 @@
  * The figures that the platform holds every load balancer to.
  *
  * @param responseSlackNanos time past a request's deadline by which it must have its final answer
- * @param pollWithinNanos time within which a list that is not watched has to be polled again; 0
- *     where the list is pushed
+ * @param maxPollIntervalNanos time within which a list that is not watched has to be polled again;
+ *     0 where the list is pushed
  * @param drainGraceNanos time for which attempts may still be sent to a draining or gone endpoint
  * @param initialCapacity the part of its capacity that an endpoint has at its start, above 0 and at
  *     most 1
@@ -16,7 +16,7 @@
  */
 public record ServiceContract(
     long responseSlackNanos,
-    long pollWithinNanos,
+    long maxPollIntervalNanos,
     long drainGraceNanos,
     double initialCapacity,
     long slowStartNanos,
--- a/src/main/java/loadbalancer/decision/api/Settings.java
+++ b/src/main/java/loadbalancer/decision/api/Settings.java
@@ -69,7 +69,7 @@
 
   private static void checkContract(ServiceContract contract) {
     check(contract.responseSlackNanos() >= 0, "answer slack must not be negative");
-    check(contract.pollWithinNanos() >= 0, "ask-within must not be negative");
+    check(contract.maxPollIntervalNanos() >= 0, "ask-within must not be negative");
     check(contract.drainGraceNanos() >= 0, "drain grace must not be negative");
     check(
         contract.initialCapacity() > 0 && contract.initialCapacity() <= 1,
--- a/src/test/java/loadbalancer/config/BalancerConfigTest.java
+++ b/src/test/java/loadbalancer/config/BalancerConfigTest.java
@@ -59,7 +59,7 @@
     assertEquals(1, settings.limits().maxAttempts());
     assertEquals(Integer.MAX_VALUE, settings.limits().maxInFlightRequests());
     assertEquals(250_000_000L, settings.limits().connectTimeoutNanos());
-    assertEquals(0, settings.contract().pollWithinNanos());
+    assertEquals(0, settings.contract().maxPollIntervalNanos());
     assertEquals(0.1, settings.contract().initialCapacity());
     assertEquals(30_000_000_000L, settings.contract().slowStartNanos());
     assertEquals(1_000_000L, settings.tickNanos());
