--- a/src/main/java/loadbalancer/downstream/ClientConnection.java
+++ b/src/main/java/loadbalancer/downstream/ClientConnection.java
@@ -137,7 +137,7 @@
   /** Responses keep their order: one that waits for its turn must not come too late for that. */
   private void giveUpWhatHoldsUpOthers() {
     if (currentRequest != null && pipelined.hasOverdue(router.nowNanos() - OVERDUE_NANOS)) {
-      handler.giveUp(currentRequest.traceId());
+      handler.abort(currentRequest.traceId());
     }
   }
 
--- a/src/main/java/loadbalancer/downstream/RequestHandler.java
+++ b/src/main/java/loadbalancer/downstream/RequestHandler.java
@@ -21,7 +21,7 @@
    * The client waits for responses that come behind that of this request: it has to be completed
    * now, whatever becomes of it. A no-op where it is completed.
    */
-  void giveUp(String traceId);
+  void abort(String traceId);
 
   /** Whether a request with this trace id is in flight, or an attempt of it is. */
   boolean isInFlight(String traceId);
--- a/src/main/java/loadbalancer/proxy/RequestDispatcher.java
+++ b/src/main/java/loadbalancer/proxy/RequestDispatcher.java
@@ -102,7 +102,7 @@
   }
 
   @Override
-  public void giveUp(String traceId) {
+  public void abort(String traceId) {
     ProxiedRequest request = requests.findByTraceId(traceId);
     if (request != null && !request.isCompleted()) {
       completeUnserved(request);
--- a/src/test/java/loadbalancer/downstream/ClientConnectionFailureTest.java
+++ b/src/test/java/loadbalancer/downstream/ClientConnectionFailureTest.java
@@ -57,7 +57,7 @@
     public void clientHalfClosed(String traceId) {}
 
     @Override
-    public void giveUp(String traceId) {}
+    public void abort(String traceId) {}
 
     @Override
     public boolean isInFlight(String traceId) {
