--- a/src/main/java/loadbalancer/discovery/DiscoveryClient.java
+++ b/src/main/java/loadbalancer/discovery/DiscoveryClient.java
@@ -67,7 +67,7 @@
   }
 
   /** Follows discovery to a new address: ends a watch at the old one and watches at the new one. */
-  public void moveTo(InetSocketAddress newAddress) {
+  public void changeAddress(InetSocketAddress newAddress) {
     if (!newAddress.equals(address)) {
       address = newAddress;
       abandonedCalls = 0;
--- a/src/main/java/loadbalancer/proxy/DiscoveryWatch.java
+++ b/src/main/java/loadbalancer/proxy/DiscoveryWatch.java
@@ -90,7 +90,7 @@
 
   /** Follows discovery to another address. */
   void moveTo(InetSocketAddress address) {
-    client.moveTo(address);
+    client.changeAddress(address);
   }
 
   /**
