--- a/src/main/java/loadbalancer/config/BalancerConfig.java
+++ b/src/main/java/loadbalancer/config/BalancerConfig.java
@@ -19,7 +19,8 @@
  * @param seed the seed of all random choices
  * @param sockets descriptors that the process may have open
  * @param memoryBytes memory that the process may use
- * @param peerListen where messages of other instances arrive; null where instances don't talk
+ * @param gossipListenAddress where messages of other instances arrive; null where instances don't
+ *     talk
  * @param instanceAddresses the other instances' addresses
  * @param broadcastAddress the address that reaches all of them; null where there is none
  * @param known the endpoint list as it was when the file was written
@@ -34,7 +35,7 @@
     long seed,
     int sockets,
     long memoryBytes,
-    InetSocketAddress peerListen,
+    InetSocketAddress gossipListenAddress,
     List<InetSocketAddress> instanceAddresses,
     InetSocketAddress broadcastAddress,
     EndpointList known,
--- a/src/main/java/loadbalancer/proxy/ProxyServer.java
+++ b/src/main/java/loadbalancer/proxy/ProxyServer.java
@@ -161,7 +161,7 @@
   /** Opens the proxy to clients and to other instances. */
   public void listen() throws IOException {
     try {
-      if (config.peerListen() != null && config.settings().limits().gossip()) {
+      if (config.gossipListenAddress() != null && config.settings().limits().gossip()) {
         TransientFailures.retry("gossip_bind_failed", this::bindGossip);
       }
       serverChannel = TransientFailures.retry("bind_failed", this::bind);
@@ -181,7 +181,7 @@
 
   private Channel bindGossip() {
     return gossip
-        .listen(group, config.peerListen(), components.dispatcher())
+        .listen(group, config.gossipListenAddress(), components.dispatcher())
         .syncUninterruptibly()
         .channel();
   }
--- a/src/test/java/loadbalancer/config/BalancerConfigTest.java
+++ b/src/test/java/loadbalancer/config/BalancerConfigTest.java
@@ -39,7 +39,7 @@
     assertEquals(0xff, config.seed());
     assertEquals(1024, config.sockets());
     assertEquals(192L << 20, config.memoryBytes());
-    assertNull(config.peerListen());
+    assertNull(config.gossipListenAddress());
     assertNull(config.broadcastAddress());
     assertEquals(List.of(), config.instanceAddresses());
     assertEquals(EndpointList.NONE, config.known());
--- a/src/test/java/loadbalancer/proxy/RequestDispatcherTest.java
+++ b/src/test/java/loadbalancer/proxy/RequestDispatcherTest.java
@@ -143,7 +143,7 @@
         peer.receive(packet);
         assertEquals(
             "hi 1", new String(packet.getData(), 0, packet.getLength(), StandardCharsets.UTF_8));
-        peer.send(new DatagramPacket(new byte[] {7}, 1, config.peerListen()));
+        peer.send(new DatagramPacket(new byte[] {7}, 1, config.gossipListenAddress()));
         GossipReceived message = engine.next(GossipReceived.class);
         assertEquals(1, message.from());
         assertEquals(7, message.data()[0]);
