--- a/src/main/java/loadbalancer/decision/DiscoveryPoller.java
+++ b/src/main/java/loadbalancer/decision/DiscoveryPoller.java
@@ -22,14 +22,14 @@
   }
 
   /** The longest wait, in nanoseconds, after a failure that follows so many in a row. */
-  public static long pollBackoffNanos(int failures) {
+  public static long maxPollBackoffNanos(int failures) {
     return BACKOFF_NANOS << Math.min(failures, MAX_DOUBLINGS);
   }
 
   void onUpdate(UpdateKind kind) {
     if (kind == UpdateKind.FAILED) {
       // Full jitter, or all instances would come back to the discovery service at once.
-      long backoff = pollBackoffNanos(consecutiveFailures++);
+      long backoff = maxPollBackoffNanos(consecutiveFailures++);
       nextPollAt = context.now + (long) (backoff * context.random.nextDouble());
       context.actions.accept(new Action.SetTimer(TIMER, nextPollAt));
     } else if (kind != UpdateKind.CACHED) {
--- a/src/test/java/loadbalancer/discovery/DiscoveryTimeoutsTest.java
+++ b/src/test/java/loadbalancer/discovery/DiscoveryTimeoutsTest.java
@@ -69,6 +69,6 @@
   private static long backoffMillis(boolean pushed, int failures) {
     return pushed
         ? AgentRetryPolicy.backoffMillis(failures)
-        : TimeUnit.NANOSECONDS.toMillis(DiscoveryPoller.pollBackoffNanos(failures));
+        : TimeUnit.NANOSECONDS.toMillis(DiscoveryPoller.maxPollBackoffNanos(failures));
   }
 }
