--- a/src/test/java/loadbalancer/downstream/ClientDisconnectTest.java
+++ b/src/test/java/loadbalancer/downstream/ClientDisconnectTest.java
@@ -123,6 +123,7 @@
   }
 
   private static StartAttempt startAttempt(String requestId, String endpoint) {
-    return new StartAttempt(requestId, DiscoveryMessages.number(endpoint), ATTEMPT_TIMEOUT_NANOS);
+    return new StartAttempt(
+        requestId, DiscoveryMessages.endpointId(endpoint), ATTEMPT_TIMEOUT_NANOS);
   }
 }
--- a/src/test/java/loadbalancer/proxy/AttemptEndOrderTest.java
+++ b/src/test/java/loadbalancer/proxy/AttemptEndOrderTest.java
@@ -283,7 +283,7 @@
           } else if (event instanceof RequestArrived request) {
             String endpoint = restarted.getCount() > 0 ? "s-1" : back;
             actions.accept(
-                new StartAttempt(request.requestId(), DiscoveryMessages.number(endpoint), 0));
+                new StartAttempt(request.requestId(), DiscoveryMessages.endpointId(endpoint), 0));
           }
         });
   }
--- a/src/test/java/loadbalancer/proxy/ConnectionCloseTest.java
+++ b/src/test/java/loadbalancer/proxy/ConnectionCloseTest.java
@@ -139,7 +139,7 @@
               started.get().server.listener().closeIdleConnections();
             }
             out.accept(
-                new StartAttempt(arrived.requestId(), DiscoveryMessages.number("s-1"), LONG));
+                new StartAttempt(arrived.requestId(), DiscoveryMessages.endpointId("s-1"), LONG));
           } else if (event instanceof AttemptEnded ended && ended.isRequestAnswered()) {
             // In the turn in which the response was written, and after that.
             try {
@@ -225,13 +225,13 @@
             } catch (InterruptedException e) {
               throw new IllegalStateException(e);
             }
-            out.accept(new StartAttempt(held.get(0), DiscoveryMessages.number("s-1"), LONG));
+            out.accept(new StartAttempt(held.get(0), DiscoveryMessages.endpointId("s-1"), LONG));
             out.accept(new RejectRequest(arrived.requestId(), 0));
           } else if (event instanceof RequestArrived arrived && arrived.tenant() != null) {
             held.add(arrived.requestId());
           } else if (event instanceof RequestArrived arrived) {
             out.accept(
-                new StartAttempt(arrived.requestId(), DiscoveryMessages.number("s-1"), LONG));
+                new StartAttempt(arrived.requestId(), DiscoveryMessages.endpointId("s-1"), LONG));
           } else if (event instanceof AttemptEnded ended && !ended.isRequestAnswered()) {
             out.accept(new FailRequest(ended.requestId()));
           }
--- a/src/test/java/loadbalancer/proxy/RemainingTimeTest.java
+++ b/src/test/java/loadbalancer/proxy/RemainingTimeTest.java
@@ -81,9 +81,12 @@
               if (event instanceof RequestArrived arrived) {
                 out.accept(
                     new StartAttempt(
-                        arrived.requestId(), DiscoveryMessages.number(further ? "s-1" : "s-2"), 0));
+                        arrived.requestId(),
+                        DiscoveryMessages.endpointId(further ? "s-1" : "s-2"),
+                        0));
               } else if (event instanceof AttemptEnded ended && further && ended.attempt() == 0) {
-                out.accept(new StartAttempt(ended.requestId(), DiscoveryMessages.number("s-2"), 0));
+                out.accept(
+                    new StartAttempt(ended.requestId(), DiscoveryMessages.endpointId("s-2"), 0));
               } else if (event instanceof AttemptEnded ended && !ended.isRequestAnswered()) {
                 out.accept(new FailRequest(ended.requestId()));
               }
@@ -138,7 +141,7 @@
                 out.accept(new RejectRequest(arrived.requestId(), 0));
               } else if (event instanceof RequestArrived arrived) {
                 out.accept(
-                    new StartAttempt(arrived.requestId(), DiscoveryMessages.number("s-2"), 0));
+                    new StartAttempt(arrived.requestId(), DiscoveryMessages.endpointId("s-2"), 0));
               } else if (event instanceof AttemptEnded ended && !ended.isRequestAnswered()) {
                 out.accept(new FailRequest(ended.requestId()));
               }
--- a/src/test/java/loadbalancer/proxy/RequestDispatcherTest.java
+++ b/src/test/java/loadbalancer/proxy/RequestDispatcherTest.java
@@ -173,7 +173,7 @@
                 actions.accept(new RejectRequest(request.requestId(), 0));
               } else if (event instanceof RequestArrived request) {
                 actions.accept(
-                    new StartAttempt(request.requestId(), DiscoveryMessages.number("s-1"), 0));
+                    new StartAttempt(request.requestId(), DiscoveryMessages.endpointId("s-1"), 0));
               } else if (event instanceof AttemptEnded attempt && !attempt.isRequestAnswered()) {
                 actions.accept(new FailRequest(attempt.requestId()));
               }
--- a/src/test/java/loadbalancer/testing/DiscoveryMessages.java
+++ b/src/test/java/loadbalancer/testing/DiscoveryMessages.java
@@ -23,7 +23,7 @@
   }
 
   /** The id that the decision engine knows an endpoint by, from its name on the list. */
-  public static long number(String name) {
+  public static long endpointId(String name) {
     EndpointList.Member member =
         new EndpointList.Member(name, null, "a", 0, EndpointState.READY, 1, 0);
     EndpointList list = new EndpointList(1, true, List.of(member));
--- a/src/test/java/loadbalancer/testing/EventLoopCues.java
+++ b/src/test/java/loadbalancer/testing/EventLoopCues.java
@@ -50,7 +50,7 @@
           } else if (event instanceof RequestArrived request) {
             actions.accept(
                 new StartAttempt(
-                    request.requestId(), DiscoveryMessages.number(endpoint), timeoutNanos));
+                    request.requestId(), DiscoveryMessages.endpointId(endpoint), timeoutNanos));
           } else if (event instanceof AttemptEnded attempt && !attempt.isRequestAnswered()) {
             actions.accept(new FailRequest(attempt.requestId()));
           }
--- a/src/test/java/loadbalancer/upstream/AttemptLimitTest.java
+++ b/src/test/java/loadbalancer/upstream/AttemptLimitTest.java
@@ -24,8 +24,8 @@
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
 class AttemptLimitTest {
 
-  private static final long FIRST_ENDPOINT = DiscoveryMessages.number("s-1");
-  private static final long SECOND_ENDPOINT = DiscoveryMessages.number("s-2");
+  private static final long FIRST_ENDPOINT = DiscoveryMessages.endpointId("s-1");
+  private static final long SECOND_ENDPOINT = DiscoveryMessages.endpointId("s-2");
 
   @Test
   void doesNotSendMoreAttemptsThanAllowed() throws Exception {
--- a/src/test/java/loadbalancer/upstream/HealthCheckTest.java
+++ b/src/test/java/loadbalancer/upstream/HealthCheckTest.java
@@ -24,7 +24,7 @@
 
   @Test
   void sendsHealthCheckWithoutTraceIdAndClosesItsConnectionOnAction() throws Exception {
-    long endpoint = DiscoveryMessages.number("s-1");
+    long endpoint = DiscoveryMessages.endpointId("s-1");
     ScriptedEngine engine =
         new ScriptedEngine(
             (event, out) -> {
--- a/src/test/java/loadbalancer/upstream/WithdrawnAttemptTest.java
+++ b/src/test/java/loadbalancer/upstream/WithdrawnAttemptTest.java
@@ -35,7 +35,7 @@
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
 class WithdrawnAttemptTest {
 
-  private static final long ENDPOINT = DiscoveryMessages.number("s-1");
+  private static final long ENDPOINT = DiscoveryMessages.endpointId("s-1");
 
   private static String drainingList(String upstream) {
     return ProxyFixture.list(2, false, ProxyFixture.member("s-1", upstream, "draining"));
@@ -121,7 +121,7 @@
                 if (event instanceof RequestArrived request) {
                   out.accept(new StartAttempt(request.requestId(), ENDPOINT, 0));
                 } else if (event instanceof AttemptEnded ended && ended.attempt() == 0) {
-                  long other = DiscoveryMessages.number("s-2");
+                  long other = DiscoveryMessages.endpointId("s-2");
                   out.accept(new StartAttempt(ended.requestId(), other, 0));
                 } else if (event instanceof AttemptEnded ended) {
                   out.accept(new FailRequest(ended.requestId()));
