--- a/src/main/java/loadbalancer/discovery/DiscoveryClient.java
+++ b/src/main/java/loadbalancer/discovery/DiscoveryClient.java
@@ -97,7 +97,7 @@
   }
 
   /** Replaces the watch by another one, if one is wanted. */
-  public void watchAgain() {
+  public void restartWatch() {
     if (watchWanted) {
       watch(true);
     }
--- a/src/main/java/loadbalancer/proxy/DiscoveryWatch.java
+++ b/src/main/java/loadbalancer/proxy/DiscoveryWatch.java
@@ -125,7 +125,7 @@
   private void watchAgainIfBehind() {
     behindRetryScheduled = false;
     if (directory.isBehind()) {
-      client.watchAgain();
+      client.restartWatch();
     }
   }
 
