--- a/src/main/java/loadbalancer/config/BalancerConfig.java
+++ b/src/main/java/loadbalancer/config/BalancerConfig.java
@@ -23,7 +23,7 @@
  *     talk
  * @param instanceAddresses the other instances' addresses
  * @param broadcastAddress the address that reaches all of them; null where there is none
- * @param known the endpoint list as it was when the file was written
+ * @param initialEndpoints the endpoint list as it was when the file was written
  * @param settings the settings of the decisions
  * @param idleNanos time after which an endpoint may close an idle connection
  * @param loadReports whether responses carry a load report
@@ -38,7 +38,7 @@
     InetSocketAddress gossipListenAddress,
     List<InetSocketAddress> instanceAddresses,
     InetSocketAddress broadcastAddress,
-    EndpointList known,
+    EndpointList initialEndpoints,
     Settings settings,
     long idleNanos,
     boolean loadReports) {
--- a/src/main/java/loadbalancer/proxy/ProxyServer.java
+++ b/src/main/java/loadbalancer/proxy/ProxyServer.java
@@ -132,7 +132,7 @@
             .build();
     reloader = new ConfigurationReloader(loop, discovery);
     shutdown = new GracefulShutdown(loop, components, config.settings(), this::shutDownNow);
-    components.dispatcher().endpointsUpdated(UpdateKind.CACHED, config.known());
+    components.dispatcher().endpointsUpdated(UpdateKind.CACHED, config.initialEndpoints());
     discovery.start(components.dispatcher());
   }
 
@@ -174,7 +174,7 @@
         "listening address="
             + address()
             + " endpoints="
-            + config.known().members().size()
+            + config.initialEndpoints().members().size()
             + " instance="
             + LogValues.value(config.name()));
   }
