--- a/src/test/java/loadbalancer/discovery/DiscoveryFailureTest.java
+++ b/src/test/java/loadbalancer/discovery/DiscoveryFailureTest.java
@@ -55,7 +55,7 @@
         connection -> {
           connection.next();
           String begun = ProxyFixture.list(42, false, READY_MEMBER).substring(0, 60);
-          connection.write(DiscoveryMessages.watch(begun));
+          connection.write(DiscoveryMessages.watchResponse(begun));
           while (true) {
             connection.write(DiscoveryMessages.chunk(""));
             Thread.sleep(20);
@@ -74,7 +74,8 @@
     FakeServer.Script script =
         connection -> {
           connection.next();
-          connection.write(DiscoveryMessages.watch(ProxyFixture.list(42, false, READY_MEMBER)));
+          connection.write(
+              DiscoveryMessages.watchResponse(ProxyFixture.list(42, false, READY_MEMBER)));
           connection.next();
         };
     try (FakeServer discovery = new FakeServer(script);
--- a/src/test/java/loadbalancer/discovery/DiscoveryRecoveryTest.java
+++ b/src/test/java/loadbalancer/discovery/DiscoveryRecoveryTest.java
@@ -55,13 +55,14 @@
           connection.next();
           switch (watches.incrementAndGet()) {
             case 1 -> {
-              connection.write(DiscoveryMessages.watch(ProxyFixture.list(42, true, READY_MEMBER)));
+              connection.write(
+                  DiscoveryMessages.watchResponse(ProxyFixture.list(42, true, READY_MEMBER)));
               silentAtNanos.set(System.nanoTime());
             }
             case 2 -> connection.write(WATCH_HEAD);
             default ->
                 connection.write(
-                    DiscoveryMessages.watch(ProxyFixture.list(43, false, DRAINING_MEMBER)));
+                    DiscoveryMessages.watchResponse(ProxyFixture.list(43, false, DRAINING_MEMBER)));
           }
           connection.ends();
         };
@@ -99,7 +100,7 @@
     LIST_CUT_OFF(
         connection -> {
           String begun = ProxyFixture.list(42, true, READY_MEMBER).substring(0, 60);
-          connection.write(DiscoveryMessages.watch(begun));
+          connection.write(DiscoveryMessages.watchResponse(begun));
           connection.ends();
         }),
     CLOSED(connection -> {}),
@@ -150,7 +151,8 @@
             reachableAtNanos.set(System.nanoTime());
             failingCall.script.run(connection);
           } else {
-            connection.write(DiscoveryMessages.watch(ProxyFixture.list(43, true, DRAINING_MEMBER)));
+            connection.write(
+                DiscoveryMessages.watchResponse(ProxyFixture.list(43, true, DRAINING_MEMBER)));
             connection.ends();
           }
         };
--- a/src/test/java/loadbalancer/discovery/DiscoveryWatchTest.java
+++ b/src/test/java/loadbalancer/discovery/DiscoveryWatchTest.java
@@ -40,7 +40,8 @@
               DiscoveryMessages.chunk(
                   ProxyFixture.list(43, false, DiscoveryTestSupport.member("gone")));
           connection.write(
-              DiscoveryMessages.watch(ProxyFixture.list(42, true, READY_MEMBER, DRAINING_MEMBER)));
+              DiscoveryMessages.watchResponse(
+                  ProxyFixture.list(42, true, READY_MEMBER, DRAINING_MEMBER)));
           connection.write(DiscoveryMessages.chunk(""));
           connection.write(gone.substring(0, 20));
           connection.write(gone.substring(20));
@@ -64,7 +65,7 @@
         connection -> {
           connection.next();
           connection.write(
-              DiscoveryMessages.watch(
+              DiscoveryMessages.watchResponse(
                   indented(ProxyFixture.list(42, true, READY_MEMBER, DRAINING_MEMBER))));
           connection.write(DiscoveryMessages.chunk(""));
           String gone =
@@ -148,7 +149,8 @@
     FakeServer.Script script =
         connection -> {
           connection.next();
-          connection.write(DiscoveryMessages.watch(ProxyFixture.list(42, false, READY_MEMBER)));
+          connection.write(
+              DiscoveryMessages.watchResponse(ProxyFixture.list(42, false, READY_MEMBER)));
         };
     try (FakeServer discovery = new FakeServer(script);
         ProxyFixture proxy = proxy(discovery, PUSHED, engine)) {
--- a/src/test/java/loadbalancer/proxy/AgentWatchTest.java
+++ b/src/test/java/loadbalancer/proxy/AgentWatchTest.java
@@ -82,7 +82,7 @@
                   c.next();
                   int number = watches.incrementAndGet();
                   if (number == 1) {
-                    c.write(DiscoveryMessages.watch(ProxyFixture.list(2, true, first)));
+                    c.write(DiscoveryMessages.watchResponse(ProxyFixture.list(2, true, first)));
                     listed.await();
                     toldAt.set(System.nanoTime());
                     end.script.run(c);
@@ -90,7 +90,7 @@
                     end.script.run(c);
                   } else {
                     c.write(
-                        DiscoveryMessages.watch(
+                        DiscoveryMessages.watchResponse(
                             ProxyFixture.list(3, true, first.replace("ready", "draining"))));
                     c.ends();
                   }
@@ -149,10 +149,10 @@
         c -> {
           c.next();
           if (watches.incrementAndGet() == 1) {
-            c.write(DiscoveryMessages.watch(ProxyFixture.list(2, true, stays, leaves)));
+            c.write(DiscoveryMessages.watchResponse(ProxyFixture.list(2, true, stays, leaves)));
             left.await();
           } else {
-            c.write(DiscoveryMessages.watch(ProxyFixture.list(3, true, stays)));
+            c.write(DiscoveryMessages.watchResponse(ProxyFixture.list(3, true, stays)));
             c.ends();
           }
         });
--- a/src/test/java/loadbalancer/proxy/AttemptEndOrderTest.java
+++ b/src/test/java/loadbalancer/proxy/AttemptEndOrderTest.java
@@ -268,7 +268,7 @@
                   .replace("\"up_since_ms\":0", "\"up_since_ms\":" + System.currentTimeMillis());
           String change =
               before.equals("ready") ? now : ProxyFixture.member("s-1", upstream.address(), before);
-          connection.write(DiscoveryMessages.watch(ProxyFixture.list(2, false, change)));
+          connection.write(DiscoveryMessages.watchResponse(ProxyFixture.list(2, false, change)));
           connection.write(DiscoveryMessages.chunk(ProxyFixture.list(3, false, now)));
           connection.ends();
         });
--- a/src/test/java/loadbalancer/proxy/LargeFleetIT.java
+++ b/src/test/java/loadbalancer/proxy/LargeFleetIT.java
@@ -121,7 +121,9 @@
             new FakeServer(
                 c -> {
                   c.next();
-                  c.write(DiscoveryMessages.watch(indented(list(42, MANY - 1, last.address()))));
+                  c.write(
+                      DiscoveryMessages.watchResponse(
+                          indented(list(42, MANY - 1, last.address()))));
                   moved.await();
                   c.write(DiscoveryMessages.chunk(indented(list(43, 0, first.address()))));
                   c.ends();
@@ -169,7 +171,7 @@
           }
           connection.next();
           String member = ProxyFixture.member("s-listed", listed.address(), "ready");
-          connection.write(DiscoveryMessages.watch(ProxyFixture.list(42, true, member)));
+          connection.write(DiscoveryMessages.watchResponse(ProxyFixture.list(42, true, member)));
           connection.ends();
         });
   }
--- a/src/test/java/loadbalancer/proxy/ReloadOrderTest.java
+++ b/src/test/java/loadbalancer/proxy/ReloadOrderTest.java
@@ -103,7 +103,7 @@
     return new FakeServer(
         connection -> {
           connection.next();
-          connection.write(DiscoveryMessages.watch(list));
+          connection.write(DiscoveryMessages.watchResponse(list));
           connection.ends();
         });
   }
@@ -116,7 +116,7 @@
     return new FakeServer(
         connection -> {
           connection.next();
-          connection.write(DiscoveryMessages.watch(ProxyFixture.list(2, true, READY)));
+          connection.write(DiscoveryMessages.watchResponse(ProxyFixture.list(2, true, READY)));
           close.await();
           connection.reset();
           closed.countDown();
@@ -189,7 +189,7 @@
                   } else {
                     connection.next();
                     connection.write(
-                        DiscoveryMessages.watch(ProxyFixture.list(3, false, DRAINING)));
+                        DiscoveryMessages.watchResponse(ProxyFixture.list(3, false, DRAINING)));
                     connection.ends();
                   }
                 });
--- a/src/test/java/loadbalancer/proxy/ReloadTest.java
+++ b/src/test/java/loadbalancer/proxy/ReloadTest.java
@@ -44,7 +44,9 @@
           connection.next();
           for (int i = 0; i < lines.length; i++) {
             connection.write(
-                i == 0 ? DiscoveryMessages.watch(lines[i]) : DiscoveryMessages.chunk(lines[i]));
+                i == 0
+                    ? DiscoveryMessages.watchResponse(lines[i])
+                    : DiscoveryMessages.chunk(lines[i]));
           }
           connection.ends();
         });
--- a/src/test/java/loadbalancer/proxy/StartupTest.java
+++ b/src/test/java/loadbalancer/proxy/StartupTest.java
@@ -110,7 +110,8 @@
               early.set(
                   prepared.await(
                       DiscoveryClient.AGENT_FIRST_LIST_TIMEOUT_MILLIS / 2, TimeUnit.MILLISECONDS));
-              connection.write(DiscoveryMessages.watch(ProxyFixture.list(2, false, DRAINING)));
+              connection.write(
+                  DiscoveryMessages.watchResponse(ProxyFixture.list(2, false, DRAINING)));
               connection.ends();
             })) {
       ProxyServer server =
--- a/src/test/java/loadbalancer/testing/DiscoveryMessages.java
+++ b/src/test/java/loadbalancer/testing/DiscoveryMessages.java
@@ -13,7 +13,7 @@
   private DiscoveryMessages() {}
 
   /** The head of a watch's response with its first line; further lines are chunks of their own. */
-  public static String watch(String line) {
+  public static String watchResponse(String line) {
     return "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(line);
   }
 
--- a/src/test/java/loadbalancer/upstream/WithdrawnAttemptTest.java
+++ b/src/test/java/loadbalancer/upstream/WithdrawnAttemptTest.java
@@ -62,7 +62,8 @@
                 connection -> {
                   connection.next();
                   drain.await();
-                  connection.write(DiscoveryMessages.watch(drainingList(upstream.address())));
+                  connection.write(
+                      DiscoveryMessages.watchResponse(drainingList(upstream.address())));
                   connection.next();
                 })) {
       ScriptedEngine engine =
@@ -165,7 +166,8 @@
             new FakeServer(
                 connection -> {
                   connection.next();
-                  connection.write(DiscoveryMessages.watch(drainingList(upstream.address())));
+                  connection.write(
+                      DiscoveryMessages.watchResponse(drainingList(upstream.address())));
                   connection.ends();
                 })) {
       List<String> queued = new ArrayList<>();
