--- a/src/main/java/loadbalancer/discovery/EndpointDirectory.java
+++ b/src/main/java/loadbalancer/discovery/EndpointDirectory.java
@@ -39,7 +39,7 @@
   private final StartTimeEstimator startTimes = new StartTimeEstimator();
   private long revision;
 
-  /** Since when discovery has sent nothing but older versions, if {@link #isBehind}. */
+  /** Since when discovery has sent nothing but older versions, if {@link #isDiscoveryBehind}. */
   private long behindSinceNanos;
 
   private boolean isBehind;
@@ -72,7 +72,7 @@
    * Whether discovery's last list was refused as outdated. Its complete list is accepted once it
    * has been behind for some seconds, so it has to be asked for that again.
    */
-  public boolean isBehind() {
+  public boolean isDiscoveryBehind() {
     return isBehind;
   }
 
--- a/src/main/java/loadbalancer/proxy/DiscoveryWatch.java
+++ b/src/main/java/loadbalancer/proxy/DiscoveryWatch.java
@@ -115,7 +115,7 @@
   }
 
   private void retryWhereBehind(EndpointList list) {
-    if (directory.isBehind() && !behindRetryScheduled) {
+    if (directory.isDiscoveryBehind() && !behindRetryScheduled) {
       LOG.warning("endpoint_list_outdated revision=" + list.revision());
       behindRetryScheduled = true;
       loop.schedule(this::watchAgainIfBehind, BEHIND_RETRY_MILLIS, TimeUnit.MILLISECONDS);
@@ -124,7 +124,7 @@
 
   private void watchAgainIfBehind() {
     behindRetryScheduled = false;
-    if (directory.isBehind()) {
+    if (directory.isDiscoveryBehind()) {
       client.restartWatch();
     }
   }
