--- a/src/main/java/loadbalancer/config/BalancerConfig.java
+++ b/src/main/java/loadbalancer/config/BalancerConfig.java
@@ -17,7 +17,7 @@
  * @param listen where clients connect
  * @param discovery where the endpoint list comes from; the only part that a reload changes
  * @param seed the seed of all random choices
- * @param sockets descriptors that the process may have open
+ * @param maxDescriptors descriptors that the process may have open
  * @param memoryBytes memory that the process may use
  * @param gossipListenAddress where messages of other instances arrive; null where instances don't
  *     talk
@@ -33,7 +33,7 @@
     InetSocketAddress listen,
     InetSocketAddress discovery,
     long seed,
-    int sockets,
+    int maxDescriptors,
     long memoryBytes,
     InetSocketAddress gossipListenAddress,
     List<InetSocketAddress> instanceAddresses,
--- a/src/main/java/loadbalancer/proxy/ProxyServer.java
+++ b/src/main/java/loadbalancer/proxy/ProxyServer.java
@@ -126,7 +126,7 @@
     components =
         builder
             .upstreams(upstreams, config.idleNanos(), config.loadReports())
-            .limits(config.sockets(), config.memoryBytes() / BODY_MEMORY_DIVISOR)
+            .limits(config.maxDescriptors(), config.memoryBytes() / BODY_MEMORY_DIVISOR)
             .endpointSource(discovery.source())
             .gossip(gossip)
             .build();
--- a/src/test/java/loadbalancer/config/BalancerConfigTest.java
+++ b/src/test/java/loadbalancer/config/BalancerConfigTest.java
@@ -37,7 +37,7 @@
     BalancerConfig config = BalancerConfig.parse(MINIMAL, Map.of());
     assertEquals(8500, config.discovery().getPort());
     assertEquals(0xff, config.seed());
-    assertEquals(1024, config.sockets());
+    assertEquals(1024, config.maxDescriptors());
     assertEquals(192L << 20, config.memoryBytes());
     assertNull(config.gossipListenAddress());
     assertNull(config.broadcastAddress());
