--- a/src/test/java/loadbalancer/proxy/AttemptEndOrderTest.java
+++ b/src/test/java/loadbalancer/proxy/AttemptEndOrderTest.java
@@ -137,7 +137,7 @@
         cues.add(
             actions -> {
               upstream.does(ends.upstream);
-              write(second, ProxyFixture.get("cue-2", EventLoopCues.HEADER));
+              write(second, ProxyFixture.get("cue-2", EventLoopCues.TRIGGER_HEADER));
             });
         cues.add(actions -> actions.accept(new CancelAttempt("r0", 0)));
       }
@@ -153,7 +153,7 @@
         cues.add(
             actions -> {
               passTimeout();
-              write(second, ProxyFixture.get("cue-2", EventLoopCues.HEADER));
+              write(second, ProxyFixture.get("cue-2", EventLoopCues.TRIGGER_HEADER));
             });
         cues.add(actions -> upstream.does(ends.upstream));
       }
@@ -192,7 +192,7 @@
       addCues(ends, upstream, second);
       client.write(ProxyFixture.get("t", ""));
       upstream.awaitRequest();
-      cue.ask(ProxyFixture.get("cue-1", EventLoopCues.HEADER));
+      cue.ask(ProxyFixture.get("cue-1", EventLoopCues.TRIGGER_HEADER));
       AttemptEnded first = engine.next(AttemptEnded.class);
       assertEquals(ends.status, first.status());
       String response = client.answer();
--- a/src/test/java/loadbalancer/proxy/ReloadOrderTest.java
+++ b/src/test/java/loadbalancer/proxy/ReloadOrderTest.java
@@ -86,7 +86,7 @@
               EventLoopCues.pass(100);
             }
           });
-      String cueResponse = cue.ask(ProxyFixture.get("cue", EventLoopCues.HEADER));
+      String cueResponse = cue.ask(ProxyFixture.get("cue", EventLoopCues.TRIGGER_HEADER));
       assertTrue(cueResponse.startsWith("HTTP/1.1 429 "));
       assertNotNull(
           fresh.connections.poll(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS),
@@ -145,7 +145,7 @@
               close.countDown();
               await(closed);
               // Read with the reset; the reload comes after both.
-              write(second, ProxyFixture.get("cue-2", EventLoopCues.HEADER));
+              write(second, ProxyFixture.get("cue-2", EventLoopCues.TRIGGER_HEADER));
             } else {
               reload(proxy, fresh);
               close.countDown();
@@ -155,7 +155,7 @@
       if (closedFirst) {
         cues.add(actions -> reload(proxy, fresh));
       }
-      cue.ask(ProxyFixture.get("cue-1", EventLoopCues.HEADER));
+      cue.ask(ProxyFixture.get("cue-1", EventLoopCues.TRIGGER_HEADER));
       EndpointListUpdate update = engine.next(EndpointListUpdate.class);
       assertEquals(2, update.endpoints().size(), "by the new discovery's list");
       EventLoopCues.pass(1000); // Longer than the wait before the agent is called again.
--- a/src/test/java/loadbalancer/testing/EventLoopCues.java
+++ b/src/test/java/loadbalancer/testing/EventLoopCues.java
@@ -13,12 +13,13 @@
 
 /**
  * Runs a test's steps on a proxy's event loop, and so forces the order of events: the loop stands
- * still while a step runs. A step runs when the engine handles a request with {@link #HEADER}.
+ * still while a step runs. A step runs when the engine handles a request with {@link
+ * #TRIGGER_HEADER}.
  */
 public final class EventLoopCues {
 
   /** Makes a request a cue. */
-  public static final String HEADER = "X-Size-Hint: 7\r\n";
+  public static final String TRIGGER_HEADER = "X-Size-Hint: 7\r\n";
 
   /** A step on the event loop; it may have the proxy carry out actions. */
   public interface Step {
