--- a/src/main/java/loadbalancer/discovery/EndpointDirectory.java
+++ b/src/main/java/loadbalancer/discovery/EndpointDirectory.java
@@ -95,7 +95,7 @@
   }
 
   /** Whether any endpoint is ready. */
-  public boolean hasReady() {
+  public boolean hasReadyEndpoint() {
     for (Listing listing : listingsById.values()) {
       if (listing.member().state() == EndpointState.READY) {
         return true;
--- a/src/main/java/loadbalancer/proxy/RequestDispatcher.java
+++ b/src/main/java/loadbalancer/proxy/RequestDispatcher.java
@@ -144,7 +144,7 @@
 
   @Override
   public boolean canServe() {
-    return directory.hasReady();
+    return directory.hasReadyEndpoint();
   }
 
   /** The number of requests without a final response, or with an attempt in flight. */
