--- a/src/main/java/loadbalancer/config/BalancerConfig.java
+++ b/src/main/java/loadbalancer/config/BalancerConfig.java
@@ -15,7 +15,7 @@
  *
  * @param name what the instance is called in its log
  * @param listen where clients connect
- * @param discovery where the endpoint list comes from; the only part that a reload changes
+ * @param discoveryAddress where the endpoint list comes from; the only part that a reload changes
  * @param seed the seed of all random choices
  * @param maxDescriptors descriptors that the process may have open
  * @param memoryBytes memory that the process may use
@@ -31,7 +31,7 @@
 public record BalancerConfig(
     String name,
     InetSocketAddress listen,
-    InetSocketAddress discovery,
+    InetSocketAddress discoveryAddress,
     long seed,
     int maxDescriptors,
     long memoryBytes,
--- a/src/main/java/loadbalancer/proxy/ConfigurationReloader.java
+++ b/src/main/java/loadbalancer/proxy/ConfigurationReloader.java
@@ -34,7 +34,7 @@
    */
   synchronized void reload(Source source) {
     try {
-      InetSocketAddress address = source.read().discovery();
+      InetSocketAddress address = source.read().discoveryAddress();
       loop.execute(() -> discovery.moveTo(address));
       LOG.info("configuration_reloaded discovery=" + address);
     } catch (IOException | RuntimeException e) {
--- a/src/main/java/loadbalancer/proxy/ProxyServer.java
+++ b/src/main/java/loadbalancer/proxy/ProxyServer.java
@@ -119,7 +119,7 @@
         new DiscoveryWatch(
             loop,
             upstreams,
-            config.discovery(),
+            config.discoveryAddress(),
             pushed,
             config.settings().contract().drainGraceNanos(),
             builder.directory());
--- a/src/test/java/loadbalancer/config/BalancerConfigTest.java
+++ b/src/test/java/loadbalancer/config/BalancerConfigTest.java
@@ -35,7 +35,7 @@
   @Test
   void absentFieldsHaveDefaults() {
     BalancerConfig config = BalancerConfig.parse(MINIMAL, Map.of());
-    assertEquals(8500, config.discovery().getPort());
+    assertEquals(8500, config.discoveryAddress().getPort());
     assertEquals(0xff, config.seed());
     assertEquals(1024, config.maxDescriptors());
     assertEquals(192L << 20, config.memoryBytes());
--- a/src/test/java/loadbalancer/proxy/ReloadTest.java
+++ b/src/test/java/loadbalancer/proxy/ReloadTest.java
@@ -146,7 +146,7 @@
             "127.0.0.1:8501", ProxyFixture.list(1, true, A), "on_request", 200, 1024, "");
     Map<String, String> environment =
         Map.of("ROUTER_DISCOVERY", "127.0.0.1:8500", "ROUTER_NAME", "n7");
-    assertEquals(8501, BalancerConfig.parse(text, environment).discovery().getPort());
+    assertEquals(8501, BalancerConfig.parse(text, environment).discoveryAddress().getPort());
     String unnamed = text.replace("\"name\":\"n0\",", "");
     assertEquals("n7", BalancerConfig.parse(unnamed, environment).name());
   }
