--- a/src/test/java/loadbalancer/proxy/AttemptEndOrderTest.java
+++ b/src/test/java/loadbalancer/proxy/AttemptEndOrderTest.java
@@ -163,7 +163,7 @@
   }
 
   private static void passTimeout() {
-    EventLoopCues.pass(TimeUnit.NANOSECONDS.toMillis(TIMEOUT_NANOS) + 50);
+    EventLoopCues.sleep(TimeUnit.NANOSECONDS.toMillis(TIMEOUT_NANOS) + 50);
   }
 
   private static void write(Client client, String text) {
@@ -300,7 +300,7 @@
             new ProxyFixture(ProxyFixture.config(discovery.address(), known(upstream)), engine);
         Client client = proxy.client()) {
       assertTrue(client.ask(ProxyFixture.get("t1", "")).endsWith("\r\n\r\nbefore"));
-      EventLoopCues.pass(50); // The connection has rested long enough to be used again.
+      EventLoopCues.sleep(50); // The connection has rested long enough to be used again.
       restarted.countDown();
       for (UpdateKind kind : List.of(UpdateKind.CACHED, UpdateKind.DELTA, UpdateKind.DELTA)) {
         assertEquals(kind, engine.next(EndpointListUpdate.class).kind());
--- a/src/test/java/loadbalancer/proxy/ReloadOrderTest.java
+++ b/src/test/java/loadbalancer/proxy/ReloadOrderTest.java
@@ -78,12 +78,12 @@
           actions -> {
             if (shutdownFirst) {
               shutdown.start();
-              EventLoopCues.pass(100); // It waits for the loop by then.
+              EventLoopCues.sleep(100); // It waits for the loop by then.
             }
             reload(proxy, fresh);
             if (!shutdownFirst) {
               shutdown.start();
-              EventLoopCues.pass(100);
+              EventLoopCues.sleep(100);
             }
           });
       String cueResponse = cue.ask(ProxyFixture.get("cue", EventLoopCues.TRIGGER_HEADER));
@@ -158,7 +158,7 @@
       cue.ask(ProxyFixture.get("cue-1", EventLoopCues.TRIGGER_HEADER));
       EndpointListUpdate update = engine.next(EndpointListUpdate.class);
       assertEquals(2, update.endpoints().size(), "by the new discovery's list");
-      EventLoopCues.pass(1000); // Longer than the wait before the agent is called again.
+      EventLoopCues.sleep(1000); // Longer than the wait before the agent is called again.
       assertEquals(1, fresh.connections.size(), "one watch at the new address");
       assertNull(
           engine.events.stream()
--- a/src/test/java/loadbalancer/testing/EventLoopCues.java
+++ b/src/test/java/loadbalancer/testing/EventLoopCues.java
@@ -59,7 +59,7 @@
   }
 
   /** Lets time pass on the calling thread, where the time itself is part of the order. */
-  public static void pass(long millis) {
+  public static void sleep(long millis) {
     try {
       Thread.sleep(millis);
     } catch (InterruptedException e) {
