--- a/src/main/java/loadbalancer/config/BalancerConfigParser.java
+++ b/src/main/java/loadbalancer/config/BalancerConfigParser.java
@@ -84,7 +84,7 @@
   private EndpointList knownEndpoints() {
     return fields.has("known")
         ? EndpointListParser.parse(fields.object("known"))
-        : EndpointList.NONE;
+        : EndpointList.EMPTY;
   }
 
   private static boolean hasLoadReports(JsonFields settings) {
--- a/src/main/java/loadbalancer/discovery/DiscoveryClient.java
+++ b/src/main/java/loadbalancer/discovery/DiscoveryClient.java
@@ -138,7 +138,7 @@
         LOG.warning("discovery_failed reason=\"" + failure.reason() + "\"" + logDetail(detail));
         failing = true;
       }
-      updates.accept(UpdateKind.FAILED, EndpointList.NONE);
+      updates.accept(UpdateKind.FAILED, EndpointList.EMPTY);
     }
 
     /** One line, in which quotes end nothing before the end. */
--- a/src/main/java/loadbalancer/discovery/EndpointList.java
+++ b/src/main/java/loadbalancer/discovery/EndpointList.java
@@ -14,7 +14,7 @@
 public record EndpointList(long revision, boolean complete, List<Member> members) {
 
   /** The list of nobody. */
-  public static final EndpointList NONE = new EndpointList(0, true, List.of());
+  public static final EndpointList EMPTY = new EndpointList(0, true, List.of());
 
   /**
    * One endpoint.
--- a/src/test/java/loadbalancer/config/BalancerConfigTest.java
+++ b/src/test/java/loadbalancer/config/BalancerConfigTest.java
@@ -42,7 +42,7 @@
     assertNull(config.gossipListenAddress());
     assertNull(config.broadcastAddress());
     assertEquals(List.of(), config.instanceAddresses());
-    assertEquals(EndpointList.NONE, config.initialEndpoints());
+    assertEquals(EndpointList.EMPTY, config.initialEndpoints());
     assertEquals(5_000_000_000L, config.idleNanos());
     assertFalse(config.loadReports());
   }
