--- a/src/main/java/loadbalancer/config/BalancerConfig.java
+++ b/src/main/java/loadbalancer/config/BalancerConfig.java
@@ -14,7 +14,7 @@
  * The configuration of one load balancer instance.
  *
  * @param name what the instance is called in its log
- * @param listen where clients connect
+ * @param listenAddress where clients connect
  * @param discoveryAddress where the endpoint list comes from; the only part that a reload changes
  * @param seed the seed of all random choices
  * @param maxDescriptors descriptors that the process may have open
@@ -30,7 +30,7 @@
  */
 public record BalancerConfig(
     String name,
-    InetSocketAddress listen,
+    InetSocketAddress listenAddress,
     InetSocketAddress discoveryAddress,
     long seed,
     int maxDescriptors,
--- a/src/main/java/loadbalancer/proxy/ProxyServer.java
+++ b/src/main/java/loadbalancer/proxy/ProxyServer.java
@@ -188,7 +188,7 @@
 
   private Channel bind() {
     return listener()
-        .listen(clientBootstrap(group), config.listen())
+        .listen(clientBootstrap(group), config.listenAddress())
         .syncUninterruptibly()
         .channel();
   }
