--- a/src/test/java/loadbalancer/proxy/ReloadOrderTest.java
+++ b/src/test/java/loadbalancer/proxy/ReloadOrderTest.java
@@ -15,7 +15,7 @@
 import loadbalancer.decision.api.Event.EndpointListUpdate;
 import loadbalancer.decision.api.UpdateKind;
 import loadbalancer.testing.DiscoveryMessages;
-import loadbalancer.testing.EventLoopCues;
+import loadbalancer.testing.EventLoopSteps;
 import loadbalancer.testing.FakeServer;
 import loadbalancer.testing.ProxyFixture;
 import loadbalancer.testing.ProxyFixture.Client;
@@ -38,7 +38,7 @@
 
   private static final String OTHER_DRAINING = ProxyFixture.member("s-2", NOWHERE, "draining");
 
-  private final EventLoopCues cues = new EventLoopCues();
+  private final EventLoopSteps cues = new EventLoopSteps();
 
   private static BalancerConfig pushed(String discovery, String known) throws IOException {
     return ProxyFixture.config(discovery, known, "pushed", 200, 1024, "");
@@ -78,15 +78,15 @@
           actions -> {
             if (shutdownFirst) {
               shutdown.start();
-              EventLoopCues.sleep(100); // It waits for the loop by then.
+              EventLoopSteps.sleep(100); // It waits for the loop by then.
             }
             reload(proxy, fresh);
             if (!shutdownFirst) {
               shutdown.start();
-              EventLoopCues.sleep(100);
+              EventLoopSteps.sleep(100);
             }
           });
-      String cueResponse = cue.ask(ProxyFixture.get("cue", EventLoopCues.TRIGGER_HEADER));
+      String cueResponse = cue.ask(ProxyFixture.get("cue", EventLoopSteps.TRIGGER_HEADER));
       assertTrue(cueResponse.startsWith("HTTP/1.1 429 "));
       assertNotNull(
           fresh.connections.poll(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS),
@@ -145,7 +145,7 @@
               close.countDown();
               await(closed);
               // Read with the reset; the reload comes after both.
-              write(second, ProxyFixture.get("cue-2", EventLoopCues.TRIGGER_HEADER));
+              write(second, ProxyFixture.get("cue-2", EventLoopSteps.TRIGGER_HEADER));
             } else {
               reload(proxy, fresh);
               close.countDown();
@@ -155,10 +155,10 @@
       if (closedFirst) {
         cues.add(actions -> reload(proxy, fresh));
       }
-      cue.ask(ProxyFixture.get("cue-1", EventLoopCues.TRIGGER_HEADER));
+      cue.ask(ProxyFixture.get("cue-1", EventLoopSteps.TRIGGER_HEADER));
       EndpointListUpdate update = engine.next(EndpointListUpdate.class);
       assertEquals(2, update.endpoints().size(), "by the new discovery's list");
-      EventLoopCues.sleep(1000); // Longer than the wait before the agent is called again.
+      EventLoopSteps.sleep(1000); // Longer than the wait before the agent is called again.
       assertEquals(1, fresh.connections.size(), "one watch at the new address");
       assertNull(
           engine.events.stream()
--- a/src/test/java/loadbalancer/testing/EventLoopCues.java
+++ b/src/test/java/loadbalancer/testing/EventLoopSteps.java
@@ -16,7 +16,7 @@
  * still while a step runs. A step runs when the engine handles a request with {@link
  * #TRIGGER_HEADER}.
  */
-public final class EventLoopCues {
+public final class EventLoopSteps {
 
   /** Makes a request a cue. */
   public static final String TRIGGER_HEADER = "X-Size-Hint: 7\r\n";
