--- a/src/main/java/loadbalancer/config/BalancerConfig.java
+++ b/src/main/java/loadbalancer/config/BalancerConfig.java
@@ -25,7 +25,7 @@
  * @param broadcastAddress the address that reaches all of them; null where there is none
  * @param initialEndpoints the endpoint list as it was when the file was written
  * @param settings the settings of the decisions
- * @param idleNanos time after which an endpoint may close an idle connection
+ * @param idleTimeoutNanos time after which an endpoint may close an idle connection
  * @param loadReports whether responses carry a load report
  */
 public record BalancerConfig(
@@ -40,7 +40,7 @@
     InetSocketAddress broadcastAddress,
     EndpointList initialEndpoints,
     Settings settings,
-    long idleNanos,
+    long idleTimeoutNanos,
     boolean loadReports) {
 
   /** The environment variable that names the configuration file. */
--- a/src/test/java/loadbalancer/config/BalancerConfigTest.java
+++ b/src/test/java/loadbalancer/config/BalancerConfigTest.java
@@ -43,7 +43,7 @@
     assertNull(config.broadcastAddress());
     assertEquals(List.of(), config.instanceAddresses());
     assertEquals(EndpointList.EMPTY, config.initialEndpoints());
-    assertEquals(5_000_000_000L, config.idleNanos());
+    assertEquals(5_000_000_000L, config.idleTimeoutNanos());
     assertFalse(config.loadReports());
   }
 
