--- a/src/test/java/loadbalancer/discovery/DiscoveryWatchTest.java
+++ b/src/test/java/loadbalancer/discovery/DiscoveryWatchTest.java
@@ -134,7 +134,7 @@
               }
             });
     String list = ProxyFixture.list(50, true, READY_MEMBER);
-    try (FakeServer discovery = FakeServer.answering(FakeServer.ok(list));
+    try (FakeServer discovery = FakeServer.respondingWith(FakeServer.ok(list));
         ProxyFixture proxy = proxy(discovery, POLLED, engine)) {
       engine.next(EndpointListUpdate.class);
       assertEquals("FULL 1 READY", nextUpdate(engine));
--- a/src/test/java/loadbalancer/downstream/ClientDisconnectTest.java
+++ b/src/test/java/loadbalancer/downstream/ClientDisconnectTest.java
@@ -32,7 +32,7 @@
   @Test
   void reportsDisconnectOfAClientWhoseRequestIsQueued() throws Exception {
     ScriptedEngine engine = new ScriptedEngine((event, actions) -> {});
-    try (FakeServer upstream = FakeServer.answering(FakeServer.ok("x"));
+    try (FakeServer upstream = FakeServer.respondingWith(FakeServer.ok("x"));
         ProxyFixture proxy = new ProxyFixture(DownstreamFixture.config(upstream), engine)) {
       try (Client client = proxy.client()) {
         client.write(ProxyFixture.get("t", ""));
@@ -46,7 +46,7 @@
   @Test
   void reportsDisconnectOfAClientWithPipelinedRequests() throws Exception {
     ScriptedEngine engine = new ScriptedEngine((event, actions) -> {});
-    try (FakeServer upstream = FakeServer.answering(FakeServer.ok("x"));
+    try (FakeServer upstream = FakeServer.respondingWith(FakeServer.ok("x"));
         ProxyFixture proxy = new ProxyFixture(DownstreamFixture.config(upstream), engine)) {
       try (Client client = proxy.client()) {
         client.write(ProxyFixture.get("t1", ""));
@@ -72,7 +72,7 @@
                 actions.accept(startAttempt(request.requestId(), "s-1"));
               }
             });
-    try (FakeServer upstream = FakeServer.answering(FakeServer.ok("x"));
+    try (FakeServer upstream = FakeServer.respondingWith(FakeServer.ok("x"));
         ProxyFixture proxy = new ProxyFixture(DownstreamFixture.config(upstream), engine);
         Client client = proxy.client();
         Client other = proxy.client()) {
@@ -105,8 +105,8 @@
               }
             });
     String rejection = "HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n";
-    try (FakeServer rejecting = FakeServer.answering(rejection);
-        FakeServer second = FakeServer.answering(FakeServer.ok("x"));
+    try (FakeServer rejecting = FakeServer.respondingWith(rejection);
+        FakeServer second = FakeServer.respondingWith(FakeServer.ok("x"));
         ProxyFixture proxy = new ProxyFixture(DownstreamFixture.config(rejecting, second), engine);
         Client client = proxy.client()) {
       departing.set(client);
--- a/src/test/java/loadbalancer/downstream/ClientHalfCloseTest.java
+++ b/src/test/java/loadbalancer/downstream/ClientHalfCloseTest.java
@@ -111,7 +111,7 @@
               }
             });
     try (FakeServer first = DownstreamFixture.respondingAfter(signal);
-        FakeServer second = FakeServer.answering(FakeServer.ok("y"));
+        FakeServer second = FakeServer.respondingWith(FakeServer.ok("y"));
         ProxyFixture proxy = new ProxyFixture(DownstreamFixture.config(first, second), engine);
         Client client = proxy.client();
         Client other = proxy.client()) {
@@ -180,7 +180,7 @@
   @CsvSource({"''", "GET /api HT"})
   void closesAHalfClosedConnectionWithoutACompleteRequest(String part) throws Exception {
     ScriptedEngine engine = new ScriptedEngine(ATTEMPT_TIMEOUT_NANOS);
-    try (FakeServer upstream = FakeServer.answering(FakeServer.ok("x"));
+    try (FakeServer upstream = FakeServer.respondingWith(FakeServer.ok("x"));
         ProxyFixture proxy = new ProxyFixture(DownstreamFixture.config(upstream), engine);
         Client client = proxy.client()) {
       client.write(part);
--- a/src/test/java/loadbalancer/downstream/MisbehavingClientTest.java
+++ b/src/test/java/loadbalancer/downstream/MisbehavingClientTest.java
@@ -45,7 +45,7 @@
       })
   void rejectsMalformedRequestsAndClosesTheConnection(String malformed, int status)
       throws Exception {
-    try (FakeServer upstream = FakeServer.answering(FakeServer.ok("x"));
+    try (FakeServer upstream = FakeServer.respondingWith(FakeServer.ok("x"));
         ProxyFixture proxy = new ProxyFixture(DownstreamFixture.config(upstream));
         Client client = proxy.client()) {
       String headers = "X-Trace-Id: bad~X-Qos: keyed~Idempotency-Key: k~";
--- a/src/test/java/loadbalancer/proxy/AgentWatchTest.java
+++ b/src/test/java/loadbalancer/proxy/AgentWatchTest.java
@@ -173,8 +173,8 @@
   @Test
   void sendsNothingToAnEndpointThatACompleteListOmits() throws Exception {
     CountDownLatch left = new CountDownLatch(1);
-    try (FakeServer leaving = FakeServer.answering(FakeServer.ok("leaving"));
-        FakeServer staying = FakeServer.answering(FakeServer.ok("staying"));
+    try (FakeServer leaving = FakeServer.respondingWith(FakeServer.ok("leaving"));
+        FakeServer staying = FakeServer.respondingWith(FakeServer.ok("staying"));
         FakeServer discovery =
             omitting(
                 ProxyFixture.member("s-stays", staying.address(), "ready"),
--- a/src/test/java/loadbalancer/proxy/ConnectionCloseTest.java
+++ b/src/test/java/loadbalancer/proxy/ConnectionCloseTest.java
@@ -161,7 +161,7 @@
   void doesNotResetTheTailOfTheLastResponse(boolean askedByTheClient) throws Exception {
     String body = "b".repeat(HttpProtocol.MAX_BODY_BYTES);
     AtomicReference<ProxyFixture> started = new AtomicReference<>();
-    try (FakeServer upstream = FakeServer.answering(FakeServer.ok(body));
+    try (FakeServer upstream = FakeServer.respondingWith(FakeServer.ok(body));
         Socket client = new Socket()) {
       ScriptedEngine engine = forwardingThenWriting(client, started, askedByTheClient);
       try (ProxyFixture proxy =
--- a/src/test/java/loadbalancer/proxy/FragmentedMessageTest.java
+++ b/src/test/java/loadbalancer/proxy/FragmentedMessageTest.java
@@ -167,7 +167,7 @@
     String request =
         ("POST /api HTTP/1.1~x-trace-id:t~X-Qos: keyed~Idempotency-Key: k~" + framed)
             .replace("~", "\r\n");
-    try (FakeServer upstream = FakeServer.answering(FakeServer.ok("x"));
+    try (FakeServer upstream = FakeServer.respondingWith(FakeServer.ok("x"));
         ProxyFixture proxy = new ProxyFixture(one(upstream), new ScriptedEngine(LONG));
         Client client = proxy.client()) {
       client.socket.setTcpNoDelay(true);
--- a/src/test/java/loadbalancer/proxy/GracefulShutdownTest.java
+++ b/src/test/java/loadbalancer/proxy/GracefulShutdownTest.java
@@ -242,7 +242,7 @@
 
   @Test
   void servesNewAndOpenConnectionsAndThenClosesThem() throws Exception {
-    try (FakeServer upstream = FakeServer.answering(FakeServer.ok("x"));
+    try (FakeServer upstream = FakeServer.respondingWith(FakeServer.ok("x"));
         ProxyFixture proxy =
             new ProxyFixture(
                 ProxyFixture.config(
--- a/src/test/java/loadbalancer/proxy/LargeFleetIT.java
+++ b/src/test/java/loadbalancer/proxy/LargeFleetIT.java
@@ -115,8 +115,8 @@
   @Test
   void servesAThousandEndpointsAndInstancesInTheLeastMemory() throws Exception {
     CountDownLatch moved = new CountDownLatch(1);
-    try (FakeServer first = FakeServer.answering(FakeServer.ok("first"));
-        FakeServer last = FakeServer.answering(FakeServer.ok("last"));
+    try (FakeServer first = FakeServer.respondingWith(FakeServer.ok("first"));
+        FakeServer last = FakeServer.respondingWith(FakeServer.ok("last"));
         FakeServer discovery =
             new FakeServer(
                 c -> {
@@ -231,8 +231,8 @@
     CountDownLatch cue = new CountDownLatch(1);
     List<Socket> idle = new ArrayList<>();
     try (FakeServer slow = respondingAfter(cue);
-        FakeServer known = FakeServer.answering(FakeServer.ok("known"));
-        FakeServer listed = FakeServer.answering(FakeServer.ok("listed"));
+        FakeServer known = FakeServer.respondingWith(FakeServer.ok("known"));
+        FakeServer listed = FakeServer.respondingWith(FakeServer.ok("listed"));
         FakeServer discovery = discovery(up, listed)) {
       String members =
           ProxyFixture.list(
--- a/src/test/java/loadbalancer/proxy/ProxyTest.java
+++ b/src/test/java/loadbalancer/proxy/ProxyTest.java
@@ -32,7 +32,7 @@
 
   @Test
   void forwardsRequestsUnchangedOverReusedConnections() throws Exception {
-    try (FakeServer upstream = FakeServer.answering(FakeServer.ok("an answer"));
+    try (FakeServer upstream = FakeServer.respondingWith(FakeServer.ok("an answer"));
         ProxyFixture proxy = new ProxyFixture(only(upstream));
         Client client = proxy.client()) {
       String response =
@@ -85,7 +85,7 @@
             + " | 413"
       })
   void respondsToInvalidRequestsAndForwardsNone(String request, int status) throws Exception {
-    try (FakeServer upstream = FakeServer.answering(FakeServer.ok("x"));
+    try (FakeServer upstream = FakeServer.respondingWith(FakeServer.ok("x"));
         ProxyFixture proxy = new ProxyFixture(only(upstream))) {
       try (Client client = proxy.client()) {
         String response = client.ask(request.trim().replace("~", "\r\n"));
@@ -103,7 +103,7 @@
   @Test
   void passesBodiesOfTheLargestSize() throws Exception {
     String body = "b".repeat(HttpProtocol.MAX_BODY_BYTES);
-    try (FakeServer upstream = FakeServer.answering(FakeServer.ok(body));
+    try (FakeServer upstream = FakeServer.respondingWith(FakeServer.ok(body));
         ProxyFixture proxy = new ProxyFixture(only(upstream));
         Client client = proxy.client()) {
       String response = client.ask(ProxyFixture.post("t", "Idempotency-Key: k\r\n", body));
@@ -114,7 +114,7 @@
 
   @Test
   void healthSaysWhetherItCanServe() throws Exception {
-    try (FakeServer upstream = FakeServer.answering(FakeServer.ok("x"));
+    try (FakeServer upstream = FakeServer.respondingWith(FakeServer.ok("x"));
         ProxyFixture proxy = new ProxyFixture(only(upstream));
         Client client = proxy.client()) {
       assertTrue(client.ask(HEALTH).startsWith("HTTP/1.1 200 "));
--- a/src/test/java/loadbalancer/proxy/RemainingTimeTest.java
+++ b/src/test/java/loadbalancer/proxy/RemainingTimeTest.java
@@ -92,7 +92,7 @@
               }
             });
     try (FakeServer full =
-            FakeServer.answering(
+            FakeServer.respondingWith(
                 "HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n");
         UnresponsiveUpstream late = new UnresponsiveUpstream();
         ProxyFixture proxy = new ProxyFixture(two(full.address(), late.address()), engine);
--- a/src/test/java/loadbalancer/proxy/RequestDispatcherTest.java
+++ b/src/test/java/loadbalancer/proxy/RequestDispatcherTest.java
@@ -178,7 +178,7 @@
                 actions.accept(new FailRequest(attempt.requestId()));
               }
             });
-    try (FakeServer upstream = FakeServer.answering(FakeServer.ok("x"));
+    try (FakeServer upstream = FakeServer.respondingWith(FakeServer.ok("x"));
         ProxyFixture proxy =
             new ProxyFixture(
                 ProxyFixture.config(
--- a/src/test/java/loadbalancer/testing/FakeServer.java
+++ b/src/test/java/loadbalancer/testing/FakeServer.java
@@ -84,7 +84,7 @@
   }
 
   /** Starts a server that responds to every request alike. */
-  public static FakeServer answering(String response) throws IOException {
+  public static FakeServer respondingWith(String response) throws IOException {
     return new FakeServer(
         connection -> {
           while (connection.next() != null) {
--- a/src/test/java/loadbalancer/upstream/AttemptLimitTest.java
+++ b/src/test/java/loadbalancer/upstream/AttemptLimitTest.java
@@ -41,7 +41,7 @@
               }
             });
     try (FakeServer upstream =
-            FakeServer.answering("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n");
+            FakeServer.respondingWith("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n");
         ProxyFixture proxy = new ProxyFixture(SingleEndpoint.config(upstream.address()), engine);
         Client client = proxy.client()) {
       client.ask(ProxyFixture.get("t", ""));
@@ -67,7 +67,7 @@
               }
             });
     CountDownLatch done = new CountDownLatch(1);
-    try (FakeServer idle = FakeServer.answering(FakeServer.ok("x"));
+    try (FakeServer idle = FakeServer.respondingWith(FakeServer.ok("x"));
         FakeServer busy =
             new FakeServer(
                 connection -> {
--- a/src/test/java/loadbalancer/upstream/ConnectionReuseTest.java
+++ b/src/test/java/loadbalancer/upstream/ConnectionReuseTest.java
@@ -42,7 +42,7 @@
 
   @Test
   void closesIdleConnectionBeforeUpstreamDoes() throws Exception {
-    try (FakeServer upstream = FakeServer.answering(FakeServer.ok("x"));
+    try (FakeServer upstream = FakeServer.respondingWith(FakeServer.ok("x"));
         ProxyFixture proxy = new ProxyFixture(SingleEndpoint.config(upstream.address()), engine);
         Client client = proxy.client()) {
       client.ask(ProxyFixture.get("t1", ""));
@@ -56,7 +56,7 @@
   /** The upstream may be closing such a connection at that moment. */
   @Test
   void doesNotReuseConnectionPastIdleTimeoutBetweenSweeps() throws Exception {
-    try (FakeServer upstream = FakeServer.answering(FakeServer.ok("x"))) {
+    try (FakeServer upstream = FakeServer.respondingWith(FakeServer.ok("x"))) {
       String list = SingleEndpoint.list(upstream.address());
       String text =
           ProxyFixture.text(SingleEndpoint.NO_DISCOVERY, list, "on_request", 200, 1024, "")
--- a/src/test/java/loadbalancer/upstream/HealthCheckTest.java
+++ b/src/test/java/loadbalancer/upstream/HealthCheckTest.java
@@ -34,7 +34,7 @@
                 out.accept(new FailRequest(request.requestId()));
               }
             });
-    try (FakeServer upstream = FakeServer.answering(FakeServer.ok("x"));
+    try (FakeServer upstream = FakeServer.respondingWith(FakeServer.ok("x"));
         ProxyFixture proxy = new ProxyFixture(SingleEndpoint.config(upstream.address()), engine);
         Client client = proxy.client()) {
       client.ask(ProxyFixture.get("t", ""));
--- a/src/test/java/loadbalancer/upstream/ResponseParsingTest.java
+++ b/src/test/java/loadbalancer/upstream/ResponseParsingTest.java
@@ -98,7 +98,7 @@
   @Test
   void resetsAttemptWhenInformationalResponsesDoNotEnd() throws Exception {
     String response = "HTTP/1.1 103 Early Hints\r\n\r\n".repeat(100);
-    try (FakeServer upstream = FakeServer.answering(response);
+    try (FakeServer upstream = FakeServer.respondingWith(response);
         ProxyFixture proxy = new ProxyFixture(SingleEndpoint.config(upstream.address()), engine);
         Client client = proxy.client()) {
       client.ask(ProxyFixture.get("t", ""));
@@ -111,7 +111,7 @@
     String response =
         "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n"
             + "Endpoint-Load-Metrics: TEXT inflight=7, queue=odd, util=0.61\r\n\r\n";
-    try (FakeServer upstream = FakeServer.answering(response);
+    try (FakeServer upstream = FakeServer.respondingWith(response);
         ProxyFixture proxy = new ProxyFixture(SingleEndpoint.config(upstream.address()), engine);
         Client client = proxy.client()) {
       client.ask(ProxyFixture.get("t", ""));
--- a/src/test/java/loadbalancer/upstream/WithdrawnAttemptTest.java
+++ b/src/test/java/loadbalancer/upstream/WithdrawnAttemptTest.java
@@ -161,7 +161,7 @@
    */
   @Test
   void doesNotWriteAttemptDecidedBeforeEngineIsNotifiedOfDrain() throws Exception {
-    try (FakeServer upstream = FakeServer.answering(FakeServer.ok("x"));
+    try (FakeServer upstream = FakeServer.respondingWith(FakeServer.ok("x"));
         FakeServer discovery =
             new FakeServer(
                 connection -> {
