--- a/src/main/java/loadbalancer/config/BalancerConfig.java
+++ b/src/main/java/loadbalancer/config/BalancerConfig.java
@@ -26,7 +26,7 @@
  * @param initialEndpoints the endpoint list as it was when the file was written
  * @param settings the settings of the decisions
  * @param idleTimeoutNanos time after which an endpoint may close an idle connection
- * @param loadReports whether responses carry a load report
+ * @param hasLoadReports whether responses carry a load report
  */
 public record BalancerConfig(
     String name,
@@ -41,7 +41,7 @@
     EndpointList initialEndpoints,
     Settings settings,
     long idleTimeoutNanos,
-    boolean loadReports) {
+    boolean hasLoadReports) {
 
   /** The environment variable that names the configuration file. */
   public static final String FILE_VARIABLE = "ROUTER_CONFIG";
--- a/src/main/java/loadbalancer/proxy/ProxyServer.java
+++ b/src/main/java/loadbalancer/proxy/ProxyServer.java
@@ -125,7 +125,7 @@
             builder.directory());
     components =
         builder
-            .upstreams(upstreams, config.idleTimeoutNanos(), config.loadReports())
+            .upstreams(upstreams, config.idleTimeoutNanos(), config.hasLoadReports())
             .limits(config.maxDescriptors(), config.memoryBytes() / BODY_MEMORY_DIVISOR)
             .endpointSource(discovery.source())
             .gossip(gossip)
--- a/src/test/java/loadbalancer/config/BalancerConfigTest.java
+++ b/src/test/java/loadbalancer/config/BalancerConfigTest.java
@@ -44,7 +44,7 @@
     assertEquals(List.of(), config.instanceAddresses());
     assertEquals(EndpointList.EMPTY, config.initialEndpoints());
     assertEquals(5_000_000_000L, config.idleTimeoutNanos());
-    assertFalse(config.loadReports());
+    assertFalse(config.hasLoadReports());
   }
 
   @Test
