--- a/src/test/java/loadbalancer/discovery/DiscoveryFailureTest.java
+++ b/src/test/java/loadbalancer/discovery/DiscoveryFailureTest.java
@@ -37,7 +37,7 @@
     ScriptedEngine engine = watchingEngine();
     FakeServer.Script script =
         connection -> {
-          connection.next();
+          connection.readRequest();
           connection.write(response.replace("~", "\r\n"));
         };
     try (FakeServer discovery = new FakeServer(script);
@@ -53,7 +53,7 @@
     ScriptedEngine engine = watchingEngine();
     FakeServer.Script script =
         connection -> {
-          connection.next();
+          connection.readRequest();
           String begun = ProxyFixture.list(42, false, READY_MEMBER).substring(0, 60);
           connection.write(DiscoveryMessages.watchResponse(begun));
           while (true) {
@@ -73,10 +73,10 @@
     ScriptedEngine engine = watchingEngine();
     FakeServer.Script script =
         connection -> {
-          connection.next();
+          connection.readRequest();
           connection.write(
               DiscoveryMessages.watchResponse(ProxyFixture.list(42, false, READY_MEMBER)));
-          connection.next();
+          connection.readRequest();
         };
     try (FakeServer discovery = new FakeServer(script);
         ProxyFixture proxy = proxy(discovery, POLLED, engine)) {
--- a/src/test/java/loadbalancer/discovery/DiscoveryRecoveryTest.java
+++ b/src/test/java/loadbalancer/discovery/DiscoveryRecoveryTest.java
@@ -52,7 +52,7 @@
     AtomicLong silentAtNanos = new AtomicLong();
     FakeServer.Script script =
         connection -> {
-          connection.next();
+          connection.readRequest();
           switch (watches.incrementAndGet()) {
             case 1 -> {
               connection.write(
@@ -146,7 +146,7 @@
     AtomicLong reachableAtNanos = new AtomicLong();
     FakeServer.Script script =
         connection -> {
-          connection.next();
+          connection.readRequest();
           if (calls.incrementAndGet() <= times) {
             reachableAtNanos.set(System.nanoTime());
             failingCall.script.run(connection);
--- a/src/test/java/loadbalancer/discovery/DiscoveryWatchTest.java
+++ b/src/test/java/loadbalancer/discovery/DiscoveryWatchTest.java
@@ -35,7 +35,7 @@
     ScriptedEngine engine = watchingEngine();
     FakeServer.Script script =
         connection -> {
-          connection.next();
+          connection.readRequest();
           String gone =
               DiscoveryMessages.chunk(
                   ProxyFixture.list(43, false, DiscoveryTestSupport.member("gone")));
@@ -63,7 +63,7 @@
     ScriptedEngine engine = watchingEngine();
     FakeServer.Script script =
         connection -> {
-          connection.next();
+          connection.readRequest();
           connection.write(
               DiscoveryMessages.watchResponse(
                   indented(ProxyFixture.list(42, true, READY_MEMBER, DRAINING_MEMBER))));
@@ -77,7 +77,7 @@
           String first = ProxyFixture.list(44, false, READY_MEMBER);
           String second = first.replace("44", "45").replace("ready", "draining");
           connection.write(DiscoveryMessages.chunk(first + second));
-          connection.next();
+          connection.readRequest();
         };
     try (FakeServer discovery = new FakeServer(script);
         ProxyFixture proxy = proxy(discovery, POLLED, engine)) {
@@ -102,7 +102,7 @@
     ScriptedEngine engine = watchingEngine();
     FakeServer.Script script =
         connection -> {
-          connection.next();
+          connection.readRequest();
           String rest = ProxyFixture.list(42, false, READY_MEMBER);
           connection.write(WATCH_HEAD);
           for (int revision = 43; revision < 43 + 15; revision++) {
@@ -148,7 +148,7 @@
     ScriptedEngine engine = passiveEngine();
     FakeServer.Script script =
         connection -> {
-          connection.next();
+          connection.readRequest();
           connection.write(
               DiscoveryMessages.watchResponse(ProxyFixture.list(42, false, READY_MEMBER)));
         };
--- a/src/test/java/loadbalancer/downstream/ClientHalfCloseTest.java
+++ b/src/test/java/loadbalancer/downstream/ClientHalfCloseTest.java
@@ -68,7 +68,7 @@
   private static FakeServer failingAfter(CountDownLatch signal) throws IOException {
     return new FakeServer(
         connection -> {
-          while (connection.next() != null) {
+          while (connection.readRequest() != null) {
             signal.await();
             connection.write("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n");
           }
--- a/src/test/java/loadbalancer/downstream/DownstreamFixture.java
+++ b/src/test/java/loadbalancer/downstream/DownstreamFixture.java
@@ -48,7 +48,7 @@
   static FakeServer respondingAfter(CountDownLatch signal) throws IOException {
     return new FakeServer(
         connection -> {
-          while (connection.next() != null) {
+          while (connection.readRequest() != null) {
             signal.await();
             connection.write(FakeServer.ok("x"));
           }
--- a/src/test/java/loadbalancer/downstream/MisbehavingClientTest.java
+++ b/src/test/java/loadbalancer/downstream/MisbehavingClientTest.java
@@ -239,7 +239,7 @@
   private static FakeServer respondingOnce(String body, CountDownLatch signal) throws IOException {
     return new FakeServer(
         connection -> {
-          connection.next();
+          connection.readRequest();
           signal.await();
           connection.write(FakeServer.ok(body));
           connection.ends();
--- a/src/test/java/loadbalancer/proxy/AgentWatchTest.java
+++ b/src/test/java/loadbalancer/proxy/AgentWatchTest.java
@@ -79,7 +79,7 @@
     try (FakeServer discovery =
             new FakeServer(
                 c -> {
-                  c.next();
+                  c.readRequest();
                   int number = watches.incrementAndGet();
                   if (number == 1) {
                     c.write(DiscoveryMessages.watchResponse(ProxyFixture.list(2, true, first)));
@@ -147,7 +147,7 @@
     AtomicInteger watches = new AtomicInteger();
     return new FakeServer(
         c -> {
-          c.next();
+          c.readRequest();
           if (watches.incrementAndGet() == 1) {
             c.write(DiscoveryMessages.watchResponse(ProxyFixture.list(2, true, stays, leaves)));
             left.await();
--- a/src/test/java/loadbalancer/proxy/AttemptEndOrderTest.java
+++ b/src/test/java/loadbalancer/proxy/AttemptEndOrderTest.java
@@ -55,7 +55,7 @@
     final FakeServer server =
         new FakeServer(
             connection -> {
-              while (connection.next() != null) {
+              while (connection.readRequest() != null) {
                 orders.take().run(connection);
                 done.add(true);
               }
@@ -242,7 +242,7 @@
     return new FakeServer(
         connection -> {
           boolean first = connections.incrementAndGet() == 1;
-          for (int i = 0; connection.next() != null; i++) {
+          for (int i = 0; connection.readRequest() != null; i++) {
             if (!first || i == 0) {
               connection.write(FakeServer.ok(first ? "before" : "next"));
             }
@@ -261,7 +261,7 @@
       throws IOException {
     return new FakeServer(
         connection -> {
-          connection.next();
+          connection.readRequest();
           restarted.await();
           String now =
               ProxyFixture.member(back, upstream.address(), "ready")
--- a/src/test/java/loadbalancer/proxy/BrokenConnectionTest.java
+++ b/src/test/java/loadbalancer/proxy/BrokenConnectionTest.java
@@ -62,7 +62,7 @@
     try (FakeServer upstream =
             new FakeServer(
                 c -> {
-                  c.next();
+                  c.readRequest();
                   c.write(begun.replace("~", "\r\n"));
                   written.countDown();
                   read.await();
@@ -98,7 +98,9 @@
             new FakeServer(
                 c -> {
                   boolean first = connections.incrementAndGet() == 1;
-                  for (String request = c.next(); request != null; request = c.next()) {
+                  for (String request = c.readRequest();
+                      request != null;
+                      request = c.readRequest()) {
                     c.write(FakeServer.ok("x"));
                     if (first) {
                       cue.await();
--- a/src/test/java/loadbalancer/proxy/ClientFloodTest.java
+++ b/src/test/java/loadbalancer/proxy/ClientFloodTest.java
@@ -98,7 +98,9 @@
     try (FakeServer upstream =
             new FakeServer(
                 c -> {
-                  for (String request = c.next(); request != null; request = c.next()) {
+                  for (String request = c.readRequest();
+                      request != null;
+                      request = c.readRequest()) {
                     if (!request.contains("X-Trace-Id: good")) {
                       done.await();
                     }
@@ -132,7 +134,9 @@
     try (FakeServer upstream =
             new FakeServer(
                 c -> {
-                  for (String request = c.next(); request != null; request = c.next()) {
+                  for (String request = c.readRequest();
+                      request != null;
+                      request = c.readRequest()) {
                     if (!request.contains("X-Trace-Id: good")) {
                       done.await();
                     }
@@ -172,7 +176,7 @@
     try (FakeServer upstream =
             new FakeServer(
                 c -> {
-                  while (c.next() != null) {
+                  while (c.readRequest() != null) {
                     done.await();
                     c.write(FakeServer.ok("x"));
                   }
--- a/src/test/java/loadbalancer/proxy/ConnectionCloseTest.java
+++ b/src/test/java/loadbalancer/proxy/ConnectionCloseTest.java
@@ -243,7 +243,7 @@
       throws IOException {
     return new FakeServer(
         c -> {
-          for (String request = c.next(); request != null; request = c.next()) {
+          for (String request = c.readRequest(); request != null; request = c.readRequest()) {
             boolean first = request.contains("X-Trace-Id: t1");
             c.write(FakeServer.ok(first ? "first" : "second"));
             if (first) {
--- a/src/test/java/loadbalancer/proxy/FragmentedMessageTest.java
+++ b/src/test/java/loadbalancer/proxy/FragmentedMessageTest.java
@@ -65,7 +65,7 @@
     try (FakeServer upstream =
             new FakeServer(
                 c -> {
-                  c.next();
+                  c.readRequest();
                   c.write(INFORMATIONAL + first.replace("~", "\r\n"));
                   begun.countDown();
                   read.await();
@@ -97,7 +97,7 @@
     try (FakeServer upstream =
             new FakeServer(
                 c -> {
-                  c.next();
+                  c.readRequest();
                   c.write(INFORMATIONAL + first);
                   c.ends();
                 });
@@ -115,7 +115,7 @@
     try (FakeServer upstream =
             new FakeServer(
                 c -> {
-                  c.next();
+                  c.readRequest();
                   c.write(INFORMATIONAL);
                   Thread.sleep(500); // Longer than an answer may take that has begun.
                   c.write(FakeServer.ok("ok"));
@@ -142,7 +142,7 @@
     try (FakeServer upstream =
             new FakeServer(
                 c -> {
-                  c.next();
+                  c.readRequest();
                   for (char each : answer.replace("~", "\r\n").toCharArray()) {
                     c.write(String.valueOf(each));
                   }
--- a/src/test/java/loadbalancer/proxy/LargeFleetIT.java
+++ b/src/test/java/loadbalancer/proxy/LargeFleetIT.java
@@ -120,7 +120,7 @@
         FakeServer discovery =
             new FakeServer(
                 c -> {
-                  c.next();
+                  c.readRequest();
                   c.write(
                       DiscoveryMessages.watchResponse(
                           indented(list(42, MANY - 1, last.address()))));
@@ -155,7 +155,7 @@
   private static FakeServer respondingAfter(CountDownLatch cue) throws IOException {
     return new FakeServer(
         connection -> {
-          while (connection.next() != null) {
+          while (connection.readRequest() != null) {
             cue.await();
             connection.write(FakeServer.ok("slow"));
           }
@@ -169,7 +169,7 @@
           if (!up.get()) {
             connection.reset();
           }
-          connection.next();
+          connection.readRequest();
           String member = ProxyFixture.member("s-listed", listed.address(), "ready");
           connection.write(DiscoveryMessages.watchResponse(ProxyFixture.list(42, true, member)));
           connection.ends();
--- a/src/test/java/loadbalancer/proxy/ProxyTest.java
+++ b/src/test/java/loadbalancer/proxy/ProxyTest.java
@@ -150,9 +150,9 @@
     try (FakeServer upstream =
             new FakeServer(
                 connection -> {
-                  for (String request = connection.next();
+                  for (String request = connection.readRequest();
                       request != null;
-                      request = connection.next()) {
+                      request = connection.readRequest()) {
                     boolean first = request.contains("X-Trace-Id: first");
                     connection.write(FakeServer.ok(first ? "1" : "2"));
                   }
--- a/src/test/java/loadbalancer/proxy/ReloadOrderTest.java
+++ b/src/test/java/loadbalancer/proxy/ReloadOrderTest.java
@@ -102,7 +102,7 @@
   private static FakeServer watched(String list) throws IOException {
     return new FakeServer(
         connection -> {
-          connection.next();
+          connection.readRequest();
           connection.write(DiscoveryMessages.watchResponse(list));
           connection.ends();
         });
@@ -115,7 +115,7 @@
       throws IOException {
     return new FakeServer(
         connection -> {
-          connection.next();
+          connection.readRequest();
           connection.write(DiscoveryMessages.watchResponse(ProxyFixture.list(2, true, READY)));
           close.await();
           connection.reset();
@@ -187,7 +187,7 @@
                   } else if (calls.get() == 6) {
                     connection.ends();
                   } else {
-                    connection.next();
+                    connection.readRequest();
                     connection.write(
                         DiscoveryMessages.watchResponse(ProxyFixture.list(3, false, DRAINING)));
                     connection.ends();
--- a/src/test/java/loadbalancer/proxy/ReloadTest.java
+++ b/src/test/java/loadbalancer/proxy/ReloadTest.java
@@ -41,7 +41,7 @@
   private static FakeServer discovery(String... lines) throws IOException {
     return new FakeServer(
         connection -> {
-          connection.next();
+          connection.readRequest();
           for (int i = 0; i < lines.length; i++) {
             connection.write(
                 i == 0
@@ -113,9 +113,9 @@
   /** Each signal has a thread of its own: the file that was read first must not be applied last. */
   @Test
   void appliesTheLaterFileOfTwoReloadsAtOnce() throws Exception {
-    try (FakeServer old = new FakeServer(FakeServer.Connection::next);
-        FakeServer next = new FakeServer(FakeServer.Connection::next);
-        FakeServer last = new FakeServer(FakeServer.Connection::next);
+    try (FakeServer old = new FakeServer(FakeServer.Connection::readRequest);
+        FakeServer next = new FakeServer(FakeServer.Connection::readRequest);
+        FakeServer last = new FakeServer(FakeServer.Connection::readRequest);
         ProxyFixture proxy =
             new ProxyFixture(pushed(old), new ScriptedEngine((event, actions) -> {}))) {
       Thread second = new Thread(() -> proxy.server.reload(() -> pushed(last)));
--- a/src/test/java/loadbalancer/proxy/RemainingTimeTest.java
+++ b/src/test/java/loadbalancer/proxy/RemainingTimeTest.java
@@ -172,7 +172,7 @@
     try (FakeServer upstream =
             new FakeServer(
                 c -> {
-                  while (c.next() != null) {
+                  while (c.readRequest() != null) {
                     cue.await();
                     c.write(FakeServer.ok("x"));
                   }
--- a/src/test/java/loadbalancer/proxy/StartupTest.java
+++ b/src/test/java/loadbalancer/proxy/StartupTest.java
@@ -106,7 +106,7 @@
     try (FakeServer discovery =
         new FakeServer(
             connection -> {
-              connection.next();
+              connection.readRequest();
               early.set(
                   prepared.await(
                       DiscoveryClient.AGENT_FIRST_LIST_TIMEOUT_MILLIS / 2, TimeUnit.MILLISECONDS));
@@ -136,7 +136,7 @@
     try (FakeServer discovery =
         new FakeServer(
             connection -> {
-              connection.next();
+              connection.readRequest();
               connection.ends();
             })) {
       ProxyServer server = ProxyServer.prepare(pushed(discovery), generation -> engine, 100);
--- a/src/test/java/loadbalancer/testing/FakeServer.java
+++ b/src/test/java/loadbalancer/testing/FakeServer.java
@@ -87,7 +87,7 @@
   public static FakeServer respondingWith(String response) throws IOException {
     return new FakeServer(
         connection -> {
-          while (connection.next() != null) {
+          while (connection.readRequest() != null) {
             connection.write(response);
           }
         });
@@ -152,7 +152,7 @@
     }
 
     /** Waits for a request; null once the other side has closed. */
-    public String next() throws IOException {
+    public String readRequest() throws IOException {
       String request = Message.read(in);
       if (request != null) {
         requests.add(request);
--- a/src/test/java/loadbalancer/upstream/AttemptLimitTest.java
+++ b/src/test/java/loadbalancer/upstream/AttemptLimitTest.java
@@ -71,7 +71,7 @@
         FakeServer busy =
             new FakeServer(
                 connection -> {
-                  connection.next();
+                  connection.readRequest();
                   done.await();
                 });
         ProxyFixture proxy = new ProxyFixture(configWithSixConnections(idle, busy), engine);
--- a/src/test/java/loadbalancer/upstream/AttemptTimeoutTest.java
+++ b/src/test/java/loadbalancer/upstream/AttemptTimeoutTest.java
@@ -44,7 +44,7 @@
     try (FakeServer upstream =
             new FakeServer(
                 connection -> {
-                  if (connection.next().contains("X-Trace-Id: slow")) {
+                  if (connection.readRequest().contains("X-Trace-Id: slow")) {
                     late.await();
                     connection.write(FakeServer.ok("late"));
                   } else {
--- a/src/test/java/loadbalancer/upstream/ConnectionReuseTest.java
+++ b/src/test/java/loadbalancer/upstream/ConnectionReuseTest.java
@@ -27,7 +27,7 @@
     try (FakeServer upstream =
             new FakeServer(
                 connection -> {
-                  connection.next();
+                  connection.readRequest();
                   connection.write(FakeServer.ok("x"));
                 });
         ProxyFixture proxy = new ProxyFixture(SingleEndpoint.config(upstream.address()), engine);
@@ -82,9 +82,9 @@
     try (FakeServer upstream =
             new FakeServer(
                 connection -> {
-                  connection.next();
+                  connection.readRequest();
                   connection.write(FakeServer.ok("ok"));
-                  connection.next();
+                  connection.readRequest();
                 });
         ProxyFixture proxy = new ProxyFixture(SingleEndpoint.config(upstream.address()), engine);
         Client client = proxy.client()) {
--- a/src/test/java/loadbalancer/upstream/ResponseParsingTest.java
+++ b/src/test/java/loadbalancer/upstream/ResponseParsingTest.java
@@ -50,7 +50,7 @@
     try (FakeServer upstream =
             new FakeServer(
                 connection -> {
-                  connection.next();
+                  connection.readRequest();
                   connection.write(response.replace("~", "\r\n"));
                 });
         ProxyFixture proxy = new ProxyFixture(SingleEndpoint.config(upstream.address()), engine);
@@ -83,7 +83,7 @@
     try (FakeServer upstream =
             new FakeServer(
                 connection -> {
-                  connection.next();
+                  connection.readRequest();
                   connection.write(response.replace("~", "\r\n"));
                   new CountDownLatch(1).await();
                 });
--- a/src/test/java/loadbalancer/upstream/SecondResponseTest.java
+++ b/src/test/java/loadbalancer/upstream/SecondResponseTest.java
@@ -38,14 +38,14 @@
     try (FakeServer upstream =
             new FakeServer(
                 connection -> {
-                  String request = connection.next();
+                  String request = connection.readRequest();
                   boolean isFirst = request.contains("X-Trace-Id: t1");
                   String response = FakeServer.ok(isFirst ? "first" : "second");
                   connection.write(inOneWrite ? response + surplus : response);
                   if (!inOneWrite) {
                     connection.write(surplus);
                   }
-                  connection.next();
+                  connection.readRequest();
                 });
         ProxyFixture proxy = new ProxyFixture(SingleEndpoint.config(upstream.address()), engine);
         Client client = proxy.client()) {
@@ -67,9 +67,9 @@
             new FakeServer(
                 connection -> {
                   int number = connections.incrementAndGet();
-                  for (String request = connection.next();
+                  for (String request = connection.readRequest();
                       request != null;
-                      request = connection.next()) {
+                      request = connection.readRequest()) {
                     boolean isFirst = request.contains("X-Trace-Id: t1");
                     connection.write(FakeServer.ok(isFirst ? "first" : "next"));
                     if (number == 1) {
--- a/src/test/java/loadbalancer/upstream/WithdrawnAttemptTest.java
+++ b/src/test/java/loadbalancer/upstream/WithdrawnAttemptTest.java
@@ -60,11 +60,11 @@
         FakeServer discovery =
             new FakeServer(
                 connection -> {
-                  connection.next();
+                  connection.readRequest();
                   drain.await();
                   connection.write(
                       DiscoveryMessages.watchResponse(drainingList(upstream.address())));
-                  connection.next();
+                  connection.readRequest();
                 })) {
       ScriptedEngine engine =
           new ScriptedEngine(
@@ -114,7 +114,7 @@
    */
   @Test
   void doesNotWriteRetryWhoseConnectionIsEstablishedAfterDedupWindow() throws Exception {
-    try (FakeServer breaking = new FakeServer(FakeServer.Connection::next);
+    try (FakeServer breaking = new FakeServer(FakeServer.Connection::readRequest);
         UnresponsiveUpstream late = new UnresponsiveUpstream()) {
       ScriptedEngine engine =
           new ScriptedEngine(
@@ -165,7 +165,7 @@
         FakeServer discovery =
             new FakeServer(
                 connection -> {
-                  connection.next();
+                  connection.readRequest();
                   connection.write(
                       DiscoveryMessages.watchResponse(drainingList(upstream.address())));
                   connection.ends();
@@ -200,7 +200,7 @@
     try (FakeServer upstream =
             new FakeServer(
                 connection -> {
-                  connection.next();
+                  connection.readRequest();
                   new CountDownLatch(1).await(); // Neither responds nor closes: only the proxy can.
                 });
         ProxyFixture proxy = new ProxyFixture(SingleEndpoint.config(upstream.address()), engine)) {
