--- a/src/main/java/loadbalancer/proxy/AttemptGuard.java
+++ b/src/main/java/loadbalancer/proxy/AttemptGuard.java
@@ -81,6 +81,9 @@
   /** The engine wanted to break a rule: a defect, which has been prevented. */
   private static void reportViolation(String rule, ProxiedRequest request) {
     LOG.severe(
-        "invariant_violated rule=" + rule + " trace_id=" + LogValues.value(request.traceId()));
+        "invariant_violated rule="
+            + rule
+            + " trace_id="
+            + LogValues.quoteIfNeeded(request.traceId()));
   }
 }
--- a/src/main/java/loadbalancer/proxy/ProxyServer.java
+++ b/src/main/java/loadbalancer/proxy/ProxyServer.java
@@ -176,7 +176,7 @@
             + " endpoints="
             + config.initialEndpoints().members().size()
             + " instance="
-            + LogValues.value(config.name()));
+            + LogValues.quoteIfNeeded(config.name()));
   }
 
   private Channel bindGossip() {
--- a/src/main/java/loadbalancer/telemetry/LogValues.java
+++ b/src/main/java/loadbalancer/telemetry/LogValues.java
@@ -8,7 +8,7 @@
   private LogValues() {}
 
   /** A text as it is where it is one plain word, else {@linkplain #quote quoted}. */
-  public static String value(String text) {
+  public static String quoteIfNeeded(String text) {
     for (int i = 0; i < text.length(); i++) {
       char next = text.charAt(i);
       if (next <= ' '
--- a/src/main/java/loadbalancer/telemetry/RequestTrace.java
+++ b/src/main/java/loadbalancer/telemetry/RequestTrace.java
@@ -142,8 +142,8 @@
   private void logRequest(TracedRequest request, HttpResponseStatus status, long nowNanos) {
     long acceptedAt = request.acceptedAtNanos();
     StringBuilder line = new StringBuilder(LINE_CAPACITY).append("request trace_id=");
-    line.append(LogValues.value(request.traceId()));
-    line.append(" class=").append(LogValues.value(request.requestClass().name()));
+    line.append(LogValues.quoteIfNeeded(request.traceId()));
+    line.append(" class=").append(LogValues.quoteIfNeeded(request.requestClass().name()));
     line.append(" status=").append(status.code());
     line.append(" duration_ms=").append(millis(nowNanos - acceptedAt));
     line.append(" budget_ms=").append(millis(request.deadlineNanos() - acceptedAt));
@@ -158,7 +158,8 @@
   }
 
   private void appendAttempt(StringBuilder line, TracedAttempt attempt, long acceptedAt) {
-    line.append("endpoint:").append(LogValues.value(endpointNames.apply(attempt.endpointId())));
+    line.append("endpoint:")
+        .append(LogValues.quoteIfNeeded(endpointNames.apply(attempt.endpointId())));
     line.append(",start_ms:").append(millis(attempt.startedAtNanos() - acceptedAt));
     if (attempt.status() == null) {
       line.append(",status:IN_FLIGHT");
--- a/src/test/java/loadbalancer/telemetry/LogValuesTest.java
+++ b/src/test/java/loadbalancer/telemetry/LogValuesTest.java
@@ -8,17 +8,17 @@
 
   @Test
   void writesPlainWordsAsTheyAre() {
-    assertEquals("f3a-9_x.7:1/é", LogValues.value("f3a-9_x.7:1/é"));
+    assertEquals("f3a-9_x.7:1/é", LogValues.quoteIfNeeded("f3a-9_x.7:1/é"));
   }
 
   /** A client chooses its trace ids: none may look like another key, or like another line. */
   @Test
   void quotesWhatCouldBreakALine() {
-    assertEquals("\"\"", LogValues.value(""));
-    assertEquals("\"a status=200\"", LogValues.value("a status=200"));
-    assertEquals("\"a\\\"b\\\\c\"", LogValues.value("a\"b\\c"));
-    assertEquals("\"a\\u000ab\\u0085c\\u007f\"", LogValues.value("a\nb\u0085c\u007f"));
-    assertEquals("\"a,status:SUCCESS\"", LogValues.value("a,status:SUCCESS"));
+    assertEquals("\"\"", LogValues.quoteIfNeeded(""));
+    assertEquals("\"a status=200\"", LogValues.quoteIfNeeded("a status=200"));
+    assertEquals("\"a\\\"b\\\\c\"", LogValues.quoteIfNeeded("a\"b\\c"));
+    assertEquals("\"a\\u000ab\\u0085c\\u007f\"", LogValues.quoteIfNeeded("a\nb\u0085c\u007f"));
+    assertEquals("\"a,status:SUCCESS\"", LogValues.quoteIfNeeded("a,status:SUCCESS"));
   }
 
   @Test
