--- a/src/test/java/loadbalancer/discovery/DiscoveryFailureTest.java
+++ b/src/test/java/loadbalancer/discovery/DiscoveryFailureTest.java
@@ -83,7 +83,7 @@
       engine.next(EndpointListUpdate.class);
       assertEquals("DELTA 1 READY", nextUpdate(engine));
       assertEquals("FAILED 0", nextUpdate(engine));
-      assertTrue(discovery.connections.take().ends());
+      assertTrue(discovery.connections.take().awaitClose());
     }
   }
 }
--- a/src/test/java/loadbalancer/discovery/DiscoveryRecoveryTest.java
+++ b/src/test/java/loadbalancer/discovery/DiscoveryRecoveryTest.java
@@ -64,7 +64,7 @@
                 connection.write(
                     DiscoveryMessages.watchResponse(ProxyFixture.list(43, false, DRAINING_MEMBER)));
           }
-          connection.ends();
+          connection.awaitClose();
         };
     try (FakeServer discovery = new FakeServer(script);
         ProxyFixture proxy = proxy(discovery, PUSHED, engine)) {
@@ -83,11 +83,11 @@
 
   /** How a call fails. */
   private enum FailingCall {
-    SILENT(FakeServer.Connection::ends),
+    SILENT(FakeServer.Connection::awaitClose),
     HALF_A_HEAD(
         connection -> {
           connection.write("HTTP/1.1 200 OK\r\nTransfer-");
-          connection.ends();
+          connection.awaitClose();
         }),
     NO_LIST(
         connection -> {
@@ -101,7 +101,7 @@
         connection -> {
           String begun = ProxyFixture.list(42, true, READY_MEMBER).substring(0, 60);
           connection.write(DiscoveryMessages.watchResponse(begun));
-          connection.ends();
+          connection.awaitClose();
         }),
     CLOSED(connection -> {}),
     RESET(FakeServer.Connection::reset),
@@ -153,7 +153,7 @@
           } else {
             connection.write(
                 DiscoveryMessages.watchResponse(ProxyFixture.list(43, true, DRAINING_MEMBER)));
-            connection.ends();
+            connection.awaitClose();
           }
         };
     BlockingQueue<EndpointListUpdate> fullUpdates = new LinkedBlockingQueue<>();
--- a/src/test/java/loadbalancer/discovery/DiscoveryWatchTest.java
+++ b/src/test/java/loadbalancer/discovery/DiscoveryWatchTest.java
@@ -112,7 +112,7 @@
             Thread.sleep(100);
           }
           connection.write(DiscoveryMessages.chunk(rest));
-          connection.ends();
+          connection.awaitClose();
         };
     try (FakeServer discovery = new FakeServer(script);
         ProxyFixture proxy = proxy(discovery, POLLED, engine)) {
--- a/src/test/java/loadbalancer/downstream/MisbehavingClientTest.java
+++ b/src/test/java/loadbalancer/downstream/MisbehavingClientTest.java
@@ -242,7 +242,7 @@
           connection.readRequest();
           signal.await();
           connection.write(FakeServer.ok(body));
-          connection.ends();
+          connection.awaitClose();
         });
   }
 
--- a/src/test/java/loadbalancer/proxy/AgentWatchTest.java
+++ b/src/test/java/loadbalancer/proxy/AgentWatchTest.java
@@ -92,7 +92,7 @@
                     c.write(
                         DiscoveryMessages.watchResponse(
                             ProxyFixture.list(3, true, first.replace("ready", "draining"))));
-                    c.ends();
+                    c.awaitClose();
                   }
                 });
         ProxyFixture proxy = new ProxyFixture(pushed(discovery, first), engine)) {
@@ -153,7 +153,7 @@
             left.await();
           } else {
             c.write(DiscoveryMessages.watchResponse(ProxyFixture.list(3, true, stays)));
-            c.ends();
+            c.awaitClose();
           }
         });
   }
--- a/src/test/java/loadbalancer/proxy/AttemptEndOrderTest.java
+++ b/src/test/java/loadbalancer/proxy/AttemptEndOrderTest.java
@@ -270,7 +270,7 @@
               before.equals("ready") ? now : ProxyFixture.member("s-1", upstream.address(), before);
           connection.write(DiscoveryMessages.watchResponse(ProxyFixture.list(2, false, change)));
           connection.write(DiscoveryMessages.chunk(ProxyFixture.list(3, false, now)));
-          connection.ends();
+          connection.awaitClose();
         });
   }
 
--- a/src/test/java/loadbalancer/proxy/FragmentedMessageTest.java
+++ b/src/test/java/loadbalancer/proxy/FragmentedMessageTest.java
@@ -70,7 +70,7 @@
                   begun.countDown();
                   read.await();
                   c.write(rest.replace("~", "\r\n"));
-                  c.ends();
+                  c.awaitClose();
                 });
         ProxyFixture proxy = new ProxyFixture(one(upstream), engine);
         Client client = proxy.client()) {
@@ -99,7 +99,7 @@
                 c -> {
                   c.readRequest();
                   c.write(INFORMATIONAL + first);
-                  c.ends();
+                  c.awaitClose();
                 });
         ProxyFixture proxy = new ProxyFixture(one(upstream), engine);
         Client client = proxy.client()) {
@@ -119,7 +119,7 @@
                   c.write(INFORMATIONAL);
                   Thread.sleep(500); // Longer than an answer may take that has begun.
                   c.write(FakeServer.ok("ok"));
-                  c.ends();
+                  c.awaitClose();
                 });
         ProxyFixture proxy = new ProxyFixture(one(upstream), engine);
         Client client = proxy.client()) {
@@ -146,7 +146,7 @@
                   for (char each : answer.replace("~", "\r\n").toCharArray()) {
                     c.write(String.valueOf(each));
                   }
-                  c.ends();
+                  c.awaitClose();
                 });
         ProxyFixture proxy = new ProxyFixture(one(upstream), engine);
         Client client = proxy.client()) {
--- a/src/test/java/loadbalancer/proxy/LargeFleetIT.java
+++ b/src/test/java/loadbalancer/proxy/LargeFleetIT.java
@@ -126,7 +126,7 @@
                           indented(list(42, MANY - 1, last.address()))));
                   moved.await();
                   c.write(DiscoveryMessages.chunk(indented(list(43, 0, first.address()))));
-                  c.ends();
+                  c.awaitClose();
                 })) {
       String config =
           ProxyFixture.text(
@@ -172,7 +172,7 @@
           connection.readRequest();
           String member = ProxyFixture.member("s-listed", listed.address(), "ready");
           connection.write(DiscoveryMessages.watchResponse(ProxyFixture.list(42, true, member)));
-          connection.ends();
+          connection.awaitClose();
         });
   }
 
--- a/src/test/java/loadbalancer/proxy/ReloadOrderTest.java
+++ b/src/test/java/loadbalancer/proxy/ReloadOrderTest.java
@@ -69,7 +69,7 @@
   @ValueSource(booleans = {true, false})
   void carriesOutAReloadAndAShutdownInOneTurn(boolean shutdownFirst) throws Exception {
     ScriptedEngine engine = cues.engine("s-1", TimeUnit.SECONDS.toNanos(30));
-    try (FakeServer fresh = new FakeServer(FakeServer.Connection::ends);
+    try (FakeServer fresh = new FakeServer(FakeServer.Connection::awaitClose);
         ProxyFixture proxy = new ProxyFixture(pushed(NOWHERE, ProxyFixture.list(1, true)), engine);
         Client cue = proxy.client();
         Client other = proxy.client()) {
@@ -104,7 +104,7 @@
         connection -> {
           connection.readRequest();
           connection.write(DiscoveryMessages.watchResponse(list));
-          connection.ends();
+          connection.awaitClose();
         });
   }
 
@@ -185,12 +185,12 @@
                   if (calls.incrementAndGet() <= 5) {
                     connection.reset();
                   } else if (calls.get() == 6) {
-                    connection.ends();
+                    connection.awaitClose();
                   } else {
                     connection.readRequest();
                     connection.write(
                         DiscoveryMessages.watchResponse(ProxyFixture.list(3, false, DRAINING)));
-                    connection.ends();
+                    connection.awaitClose();
                   }
                 });
         ProxyFixture proxy =
--- a/src/test/java/loadbalancer/proxy/ReloadTest.java
+++ b/src/test/java/loadbalancer/proxy/ReloadTest.java
@@ -48,7 +48,7 @@
                     ? DiscoveryMessages.watchResponse(lines[i])
                     : DiscoveryMessages.chunk(lines[i]));
           }
-          connection.ends();
+          connection.awaitClose();
         });
   }
 
--- a/src/test/java/loadbalancer/proxy/StartupTest.java
+++ b/src/test/java/loadbalancer/proxy/StartupTest.java
@@ -112,7 +112,7 @@
                       DiscoveryClient.AGENT_FIRST_LIST_TIMEOUT_MILLIS / 2, TimeUnit.MILLISECONDS));
               connection.write(
                   DiscoveryMessages.watchResponse(ProxyFixture.list(2, false, DRAINING)));
-              connection.ends();
+              connection.awaitClose();
             })) {
       ProxyServer server =
           ProxyServer.prepare(
@@ -137,7 +137,7 @@
         new FakeServer(
             connection -> {
               connection.readRequest();
-              connection.ends();
+              connection.awaitClose();
             })) {
       ProxyServer server = ProxyServer.prepare(pushed(discovery), generation -> engine, 100);
       server.listen();
--- a/src/test/java/loadbalancer/testing/FakeServer.java
+++ b/src/test/java/loadbalancer/testing/FakeServer.java
@@ -193,7 +193,7 @@
      * Waits until the other side closes; false if it sends more first, or is still there at the
      * time-out.
      */
-    public boolean ends() {
+    public boolean awaitClose() {
       try {
         socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(ProxyFixture.TIMEOUT_SECONDS));
         return in.read() < 0;
--- a/src/test/java/loadbalancer/upstream/AttemptTimeoutTest.java
+++ b/src/test/java/loadbalancer/upstream/AttemptTimeoutTest.java
@@ -56,7 +56,7 @@
       assertTrue(client.ask(ProxyFixture.get("slow", "")).startsWith("HTTP/1.1 502 "));
       assertEquals(AttemptStatus.TIMEOUT, engine.next(AttemptEnded.class).status());
       FakeServer.Connection slow = upstream.connections.take();
-      assertTrue(slow.ends(), "closed before anything was sent on it");
+      assertTrue(slow.awaitClose(), "closed before anything was sent on it");
       late.countDown();
       assertTrue(client.ask(ProxyFixture.get("next", "")).endsWith("\r\n\r\nfresh"));
       assertEquals(1, upstream.connections.size(), "on a new connection");
--- a/src/test/java/loadbalancer/upstream/ConnectionReuseTest.java
+++ b/src/test/java/loadbalancer/upstream/ConnectionReuseTest.java
@@ -33,7 +33,7 @@
         ProxyFixture proxy = new ProxyFixture(SingleEndpoint.config(upstream.address()), engine);
         Client client = proxy.client()) {
       client.ask(ProxyFixture.get("t1", ""));
-      assertTrue(upstream.connections.take().ends());
+      assertTrue(upstream.connections.take().awaitClose());
       client.ask(ProxyFixture.get("t2", ""));
       assertEquals(AttemptStatus.SUCCESS, engine.next(AttemptEnded.class).status());
       assertEquals(AttemptStatus.SUCCESS, engine.next(AttemptEnded.class).status());
--- a/src/test/java/loadbalancer/upstream/ResponseParsingTest.java
+++ b/src/test/java/loadbalancer/upstream/ResponseParsingTest.java
@@ -91,7 +91,7 @@
         Client client = proxy.client()) {
       assertTrue(client.ask(ProxyFixture.get("t", "")).startsWith("HTTP/1.1 502 "));
       assertEquals(AttemptStatus.RESET, engine.next(AttemptEnded.class).status());
-      assertTrue(upstream.connections.take().ends(), "its connection is closed");
+      assertTrue(upstream.connections.take().awaitClose(), "its connection is closed");
     }
   }
 
--- a/src/test/java/loadbalancer/upstream/WithdrawnAttemptTest.java
+++ b/src/test/java/loadbalancer/upstream/WithdrawnAttemptTest.java
@@ -168,7 +168,7 @@
                   connection.readRequest();
                   connection.write(
                       DiscoveryMessages.watchResponse(drainingList(upstream.address())));
-                  connection.ends();
+                  connection.awaitClose();
                 })) {
       List<String> queued = new ArrayList<>();
       ScriptedEngine engine =
@@ -213,7 +213,7 @@
         client.socket.setSoLinger(true, 0);
       }
       assertEquals(AttemptStatus.CANCELLED, engine.next(AttemptEnded.class).status());
-      assertTrue(connection.ends());
+      assertTrue(connection.awaitClose());
     }
   }
 }
