--- a/src/main/java/loadbalancer/downstream/DownstreamListener.java
+++ b/src/main/java/loadbalancer/downstream/DownstreamListener.java
@@ -166,7 +166,7 @@
    */
   private void admit(Channel channel) {
     boolean admitted =
-        (connections.count() < descriptors.clientLimit() && descriptors.hasRoom())
+        (connections.count() < descriptors.maxClientConnections() && descriptors.hasRoom())
             || connections.shedOne()
             || upstreamConnections.closeLongestIdle();
     acceptedConnections++;
--- a/src/main/java/loadbalancer/net/DescriptorBudget.java
+++ b/src/main/java/loadbalancer/net/DescriptorBudget.java
@@ -4,9 +4,9 @@
 
 /**
  * Divides the file descriptors of the process. The process's own and a spare part are set aside;
- * the rest is shared by connections of clients, up to {@link #clientLimit()}, and connections to
- * upstreams. Both are counted by {@link #register}; listeners, discovery and gossip are not, they
- * are part of what is set aside. Confined to the event loop.
+ * the rest is shared by connections of clients, up to {@link #maxClientConnections()}, and
+ * connections to upstreams. Both are counted by {@link #register}; listeners, discovery and gossip
+ * are not, they are part of what is set aside. Confined to the event loop.
  */
 public final class DescriptorBudget {
 
@@ -59,7 +59,7 @@
   /**
    * Returns the number of client connections from which on an idle one is closed for each new one.
    */
-  public int clientLimit() {
+  public int maxClientConnections() {
     return (int) (shared * CLIENT_PART);
   }
 }
