--- a/src/test/java/loadbalancer/proxy/BrokenConnectionTest.java
+++ b/src/test/java/loadbalancer/proxy/BrokenConnectionTest.java
@@ -115,7 +115,7 @@
       Thread.sleep(50); // It has rested for long enough to be used again.
       FakeServer.Connection resting = upstream.connections.take();
       cue.countDown();
-      assertTrue(resting.awaitEnd());
+      assertTrue(resting.awaitScriptEnd());
       assertTrue(client.ask(ProxyFixture.get("t2", "")).startsWith("HTTP/1.1 200 "));
       for (int i = 0; i < 2; i++) {
         assertEquals(AttemptStatus.SUCCESS, engine.next(AttemptEnded.class).status());
--- a/src/test/java/loadbalancer/proxy/ReloadTest.java
+++ b/src/test/java/loadbalancer/proxy/ReloadTest.java
@@ -85,7 +85,7 @@
       assertEquals(2, update.endpoints().size());
       String request = fresh.requests.take();
       assertTrue(request.startsWith("GET /v1/servers?follow=1&since=2 HTTP/1.1\r\n"));
-      assertTrue(old.connections.take().awaitEnd(), "nothing is left at the old address");
+      assertTrue(old.connections.take().awaitScriptEnd(), "nothing is left at the old address");
     }
   }
 
--- a/src/test/java/loadbalancer/testing/FakeServer.java
+++ b/src/test/java/loadbalancer/testing/FakeServer.java
@@ -185,7 +185,7 @@
     }
 
     /** Waits until the script is through: its last read found the end, or it closed. */
-    public boolean awaitEnd() throws InterruptedException {
+    public boolean awaitScriptEnd() throws InterruptedException {
       return over.await(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
--- a/src/test/java/loadbalancer/upstream/ConnectionReuseTest.java
+++ b/src/test/java/loadbalancer/upstream/ConnectionReuseTest.java
@@ -49,7 +49,7 @@
       FakeServer.Connection connection = upstream.connections.take();
       upstream.requests.take();
       assertNull(upstream.requests.poll(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.MILLISECONDS));
-      assertTrue(connection.awaitEnd(), "closed without the upstream's doing");
+      assertTrue(connection.awaitScriptEnd(), "closed without the upstream's doing");
     }
   }
 
--- a/src/test/java/loadbalancer/upstream/HealthCheckTest.java
+++ b/src/test/java/loadbalancer/upstream/HealthCheckTest.java
@@ -45,7 +45,7 @@
               && !healthCheck.contains("X-Trace-Id"),
           healthCheck);
       client.ask(ProxyFixture.get("t2", ""));
-      assertTrue(upstream.connections.take().awaitEnd(), "closed by the second action");
+      assertTrue(upstream.connections.take().awaitScriptEnd(), "closed by the second action");
     }
   }
 }
--- a/src/test/java/loadbalancer/upstream/SecondResponseTest.java
+++ b/src/test/java/loadbalancer/upstream/SecondResponseTest.java
@@ -50,7 +50,7 @@
         ProxyFixture proxy = new ProxyFixture(SingleEndpoint.config(upstream.address()), engine);
         Client client = proxy.client()) {
       assertTrue(client.ask(ProxyFixture.get("t1", "")).endsWith("\r\n\r\nfirst"));
-      assertTrue(upstream.connections.take().awaitEnd(), "closed by the proxy");
+      assertTrue(upstream.connections.take().awaitScriptEnd(), "closed by the proxy");
       assertTrue(client.ask(ProxyFixture.get("t2", "")).endsWith("\r\n\r\nsecond"));
     }
   }
@@ -81,7 +81,7 @@
         ProxyFixture proxy = new ProxyFixture(SingleEndpoint.config(upstream.address()), engine);
         Client client = proxy.client()) {
       assertTrue(client.ask(ProxyFixture.get("t1", "")).endsWith("\r\n\r\nfirst"));
-      assertTrue(upstream.connections.take().awaitEnd(), "closed by the proxy");
+      assertTrue(upstream.connections.take().awaitScriptEnd(), "closed by the proxy");
       assertTrue(client.ask(ProxyFixture.get("t2", "")).endsWith("\r\n\r\nnext"));
       Thread.sleep(15); // Longer than the initial quiet period, far shorter than the extended one.
       assertTrue(client.ask(ProxyFixture.get("t3", "")).endsWith("\r\n\r\nnext"));
