--- a/src/test/java/loadbalancer/proxy/ConnectionCloseTest.java
+++ b/src/test/java/loadbalancer/proxy/ConnectionCloseTest.java
@@ -187,7 +187,7 @@
           }
         }
         InputStream in = new BufferedInputStream(client.getInputStream());
-        String answer = FakeServer.Message.read(in);
+        String answer = FakeServer.MessageReader.read(in);
         assertTrue(
             answer.startsWith("HTTP/1.1 200 ") && answer.endsWith("\r\n\r\n" + body), "whole");
         assertEquals(-1, in.read(), "and then the end");
--- a/src/test/java/loadbalancer/proxy/LargeFleetIT.java
+++ b/src/test/java/loadbalancer/proxy/LargeFleetIT.java
@@ -74,7 +74,7 @@
   private static String ask(Socket client, String text) throws IOException {
     client.setSoTimeout(ProxyFixture.TIMEOUT_SECONDS * 1000);
     client.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
-    return FakeServer.Message.read(client.getInputStream());
+    return FakeServer.MessageReader.read(client.getInputStream());
   }
 
   private static String askAnew(int port, String id) throws IOException {
@@ -204,7 +204,7 @@
   private static void assertAnswered(List<Socket> open) throws IOException {
     for (Socket client : open) {
       client.setSoTimeout(ProxyFixture.TIMEOUT_SECONDS * 1000);
-      String response = FakeServer.Message.read(client.getInputStream());
+      String response = FakeServer.MessageReader.read(client.getInputStream());
       assertTrue(
           response.endsWith("slow")
               || response.endsWith("known")
--- a/src/test/java/loadbalancer/proxy/RemainingTimeTest.java
+++ b/src/test/java/loadbalancer/proxy/RemainingTimeTest.java
@@ -107,7 +107,7 @@
       Thread.sleep(400);
       long passed = millisSince(from);
       try (Socket connection = late.accept()) {
-        long told = told(FakeServer.Message.read(connection.getInputStream()));
+        long told = told(FakeServer.MessageReader.read(connection.getInputStream()));
         assertTrue(
             told <= 30_000 - passed,
             "told " + told + " ms of 30000 when " + passed + " had passed");
--- a/src/test/java/loadbalancer/testing/FakeServer.java
+++ b/src/test/java/loadbalancer/testing/FakeServer.java
@@ -112,11 +112,11 @@
   }
 
   /** Reads HTTP messages, of servers and of clients. */
-  public static final class Message {
+  public static final class MessageReader {
 
     private static final String LENGTH = "content-length:";
 
-    private Message() {}
+    private MessageReader() {}
 
     /** The next message's head and body as they came; null at the end of the connection. */
     public static String read(InputStream in) throws IOException {
@@ -153,7 +153,7 @@
 
     /** Waits for a request; null once the other side has closed. */
     public String readRequest() throws IOException {
-      String request = Message.read(in);
+      String request = MessageReader.read(in);
       if (request != null) {
         requests.add(request);
       }
--- a/src/test/java/loadbalancer/testing/ProxyFixture.java
+++ b/src/test/java/loadbalancer/testing/ProxyFixture.java
@@ -130,7 +130,7 @@
 
     /** Waits for the next response; null once the proxy has closed. */
     public String answer() throws IOException {
-      return FakeServer.Message.read(in);
+      return FakeServer.MessageReader.read(in);
     }
 
     /** Sends a request and waits for the response. */
