--- a/src/test/java/loadbalancer/discovery/DiscoveryFailureTest.java
+++ b/src/test/java/loadbalancer/discovery/DiscoveryFailureTest.java
@@ -42,7 +42,7 @@
         };
     try (FakeServer discovery = new FakeServer(script);
         ProxyFixture proxy = proxy(discovery, POLLED, engine)) {
-      engine.next(EndpointListUpdate.class);
+      engine.awaitEvent(EndpointListUpdate.class);
       assertEquals("FAILED 0", nextUpdate(engine));
     }
   }
@@ -63,7 +63,7 @@
         };
     try (FakeServer discovery = new FakeServer(script);
         ProxyFixture proxy = proxy(discovery, POLLED, engine)) {
-      engine.next(EndpointListUpdate.class);
+      engine.awaitEvent(EndpointListUpdate.class);
       assertEquals("FAILED 0", nextUpdate(engine));
     }
   }
@@ -80,7 +80,7 @@
         };
     try (FakeServer discovery = new FakeServer(script);
         ProxyFixture proxy = proxy(discovery, POLLED, engine)) {
-      engine.next(EndpointListUpdate.class);
+      engine.awaitEvent(EndpointListUpdate.class);
       assertEquals("DELTA 1 READY", nextUpdate(engine));
       assertEquals("FAILED 0", nextUpdate(engine));
       assertTrue(discovery.connections.take().awaitClose());
--- a/src/test/java/loadbalancer/discovery/DiscoveryTestSupport.java
+++ b/src/test/java/loadbalancer/discovery/DiscoveryTestSupport.java
@@ -60,7 +60,7 @@
 
   /** The next update's kind, number of endpoints and the first one's state. */
   static String nextUpdate(ScriptedEngine engine) throws InterruptedException {
-    return describe(engine.next(EndpointListUpdate.class));
+    return describe(engine.awaitEvent(EndpointListUpdate.class));
   }
 
   static String describe(EndpointListUpdate update) {
--- a/src/test/java/loadbalancer/discovery/DiscoveryWatchTest.java
+++ b/src/test/java/loadbalancer/discovery/DiscoveryWatchTest.java
@@ -116,7 +116,7 @@
         };
     try (FakeServer discovery = new FakeServer(script);
         ProxyFixture proxy = proxy(discovery, POLLED, engine)) {
-      engine.next(EndpointListUpdate.class);
+      engine.awaitEvent(EndpointListUpdate.class);
       for (int i = 0; i < 16; i++) {
         assertEquals("DELTA 1 READY", nextUpdate(engine));
       }
@@ -136,7 +136,7 @@
     String list = ProxyFixture.list(50, true, READY_MEMBER);
     try (FakeServer discovery = FakeServer.respondingWith(FakeServer.ok(list));
         ProxyFixture proxy = proxy(discovery, POLLED, engine)) {
-      engine.next(EndpointListUpdate.class);
+      engine.awaitEvent(EndpointListUpdate.class);
       assertEquals("FULL 1 READY", nextUpdate(engine));
       String request = discovery.requests.take();
       assertTrue(request.startsWith("GET /v1/servers HTTP/1.1\r\n"), request);
@@ -154,7 +154,7 @@
         };
     try (FakeServer discovery = new FakeServer(script);
         ProxyFixture proxy = proxy(discovery, PUSHED, engine)) {
-      engine.next(EndpointListUpdate.class);
+      engine.awaitEvent(EndpointListUpdate.class);
       assertEquals("DELTA 1 READY", nextUpdate(engine));
       assertEquals("DELTA 1 READY", nextUpdate(engine), "again after the first watch ended");
     }
--- a/src/test/java/loadbalancer/downstream/ClientDisconnectTest.java
+++ b/src/test/java/loadbalancer/downstream/ClientDisconnectTest.java
@@ -36,9 +36,9 @@
         ProxyFixture proxy = new ProxyFixture(DownstreamFixture.config(upstream), engine)) {
       try (Client client = proxy.client()) {
         client.write(ProxyFixture.get("t", ""));
-        engine.next(RequestArrived.class);
+        engine.awaitEvent(RequestArrived.class);
       }
-      engine.next(ClientDisconnected.class);
+      engine.awaitEvent(ClientDisconnected.class);
     }
   }
 
@@ -50,10 +50,10 @@
         ProxyFixture proxy = new ProxyFixture(DownstreamFixture.config(upstream), engine)) {
       try (Client client = proxy.client()) {
         client.write(ProxyFixture.get("t1", ""));
-        engine.next(RequestArrived.class);
+        engine.awaitEvent(RequestArrived.class);
         client.write(ProxyFixture.get("t2", "")).write(ProxyFixture.get("t3", ""));
       }
-      engine.next(ClientDisconnected.class);
+      engine.awaitEvent(ClientDisconnected.class);
     }
   }
 
@@ -78,7 +78,7 @@
         Client other = proxy.client()) {
       departing.set(client);
       client.write(ProxyFixture.get("leaves", ""));
-      assertEquals(AttemptStatus.NOT_SENT, engine.next(AttemptEnded.class).status());
+      assertEquals(AttemptStatus.NOT_SENT, engine.awaitEvent(AttemptEnded.class).status());
       if (departure == Departure.HALF_CLOSE) {
         assertTrue(client.answer().startsWith("HTTP/1.1 503 "), "a final response: it has not run");
         assertNull(client.answer());
@@ -111,8 +111,8 @@
         Client client = proxy.client()) {
       departing.set(client);
       client.write(ProxyFixture.get("t", ""));
-      assertEquals(AttemptStatus.REJECTED, engine.next(AttemptEnded.class).status());
-      AttemptEnded retry = engine.next(AttemptEnded.class);
+      assertEquals(AttemptStatus.REJECTED, engine.awaitEvent(AttemptEnded.class).status());
+      AttemptEnded retry = engine.awaitEvent(AttemptEnded.class);
       assertEquals(AttemptStatus.NOT_SENT, retry.status());
       assertTrue(retry.isRequestAnswered(), "no further action of the engine is expected");
       if (departure == Departure.HALF_CLOSE) {
--- a/src/test/java/loadbalancer/downstream/ClientHalfCloseTest.java
+++ b/src/test/java/loadbalancer/downstream/ClientHalfCloseTest.java
@@ -56,7 +56,7 @@
       client.socket.shutdownOutput();
       DownstreamFixture.awaitInputRead(proxy);
       signal.countDown();
-      AttemptEnded ended = engine.next(AttemptEnded.class);
+      AttemptEnded ended = engine.awaitEvent(AttemptEnded.class);
       assertEquals(AttemptStatus.ERROR, ended.status());
       assertTrue(ended.isRequestAnswered(), "no further action of the engine is expected");
       assertTrue(client.answer().startsWith("HTTP/1.1 500 "), "it may have run");
@@ -120,7 +120,7 @@
       awaitRequest(first);
       String trigger = ProxyFixture.get("trigger", "X-Size-Hint: 7\r\n");
       assertTrue(other.ask(trigger).startsWith("HTTP/1.1 429 "));
-      AttemptEnded hedge = engine.next(AttemptEnded.class);
+      AttemptEnded hedge = engine.awaitEvent(AttemptEnded.class);
       assertEquals(AttemptStatus.NOT_SENT, hedge.status());
       assertEquals(1, hedge.attempt());
       signal.countDown();
@@ -138,12 +138,12 @@
         ProxyFixture proxy = new ProxyFixture(unconnectable(upstream.address()), engine);
         Client client = proxy.client()) {
       client.write(ProxyFixture.get("t", ""));
-      engine.next(RequestArrived.class);
+      engine.awaitEvent(RequestArrived.class);
       client.socket.shutdownOutput();
       assertTrue(client.answer().startsWith("HTTP/1.1 503 "), "it has not run");
       assertNull(client.answer());
-      engine.next(ClientDisconnected.class);
-      assertEquals(AttemptStatus.NOT_SENT, engine.next(AttemptEnded.class).status());
+      engine.awaitEvent(ClientDisconnected.class);
+      assertEquals(AttemptStatus.NOT_SENT, engine.awaitEvent(AttemptEnded.class).status());
     }
   }
 
--- a/src/test/java/loadbalancer/proxy/AgentWatchTest.java
+++ b/src/test/java/loadbalancer/proxy/AgentWatchTest.java
@@ -96,10 +96,10 @@
                   }
                 });
         ProxyFixture proxy = new ProxyFixture(pushed(discovery, first), engine)) {
-      engine.next(EndpointListUpdate.class);
-      assertEquals(UpdateKind.FULL, engine.next(EndpointListUpdate.class).kind());
+      engine.awaitEvent(EndpointListUpdate.class);
+      assertEquals(UpdateKind.FULL, engine.awaitEvent(EndpointListUpdate.class).kind());
       listed.countDown();
-      EndpointListUpdate news = engine.next(EndpointListUpdate.class);
+      EndpointListUpdate news = engine.awaitEvent(EndpointListUpdate.class);
       assertEquals(
           List.of(EndpointState.DRAINING), news.endpoints().stream().map(e -> e.state()).toList());
       long millis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - toldAt.get());
--- a/src/test/java/loadbalancer/proxy/AttemptEndOrderTest.java
+++ b/src/test/java/loadbalancer/proxy/AttemptEndOrderTest.java
@@ -193,7 +193,7 @@
       client.write(ProxyFixture.get("t", ""));
       upstream.awaitRequest();
       cue.ask(ProxyFixture.get("cue-1", EventLoopSteps.TRIGGER_HEADER));
-      AttemptEnded first = engine.next(AttemptEnded.class);
+      AttemptEnded first = engine.awaitEvent(AttemptEnded.class);
       assertEquals(ends.status, first.status());
       String response = client.answer();
       boolean succeeds = ends.status == AttemptStatus.SUCCESS;
@@ -205,7 +205,7 @@
       assertTrue(client.answer().endsWith("\r\n\r\nsecond"), "its own response");
       assertNotEquals(
           first.requestId(),
-          engine.next(AttemptEnded.class).requestId(),
+          engine.awaitEvent(AttemptEnded.class).requestId(),
           "one end reported an attempt");
     }
   }
@@ -229,7 +229,7 @@
         Client client = proxy.client()) {
       String response = client.ask(ProxyFixture.post("t", "Idempotency-Key: k\r\n", body));
       assertTrue(response.startsWith("HTTP/1.1 502 "));
-      assertEquals(AttemptStatus.RESET, engine.next(AttemptEnded.class).status());
+      assertEquals(AttemptStatus.RESET, engine.awaitEvent(AttemptEnded.class).status());
       assertEquals(1, upstream.connections.size(), "not sent again");
     }
   }
@@ -303,7 +303,7 @@
       EventLoopSteps.sleep(50); // The connection has rested long enough to be used again.
       restarted.countDown();
       for (UpdateKind kind : List.of(UpdateKind.CACHED, UpdateKind.DELTA, UpdateKind.DELTA)) {
-        assertEquals(kind, engine.next(EndpointListUpdate.class).kind());
+        assertEquals(kind, engine.awaitEvent(EndpointListUpdate.class).kind());
       }
       assertTrue(client.ask(ProxyFixture.get("t2", "")).endsWith("\r\n\r\nnext"));
     }
--- a/src/test/java/loadbalancer/proxy/BrokenConnectionTest.java
+++ b/src/test/java/loadbalancer/proxy/BrokenConnectionTest.java
@@ -82,7 +82,7 @@
       read.countDown();
       String answer = client.answer();
       assertTrue(answer.startsWith("HTTP/1.1 502 ") && !answer.contains("part"), answer);
-      assertEquals(AttemptStatus.RESET, engine.next(AttemptEnded.class).status());
+      assertEquals(AttemptStatus.RESET, engine.awaitEvent(AttemptEnded.class).status());
     }
   }
 
@@ -118,7 +118,7 @@
       assertTrue(resting.awaitScriptEnd());
       assertTrue(client.ask(ProxyFixture.get("t2", "")).startsWith("HTTP/1.1 200 "));
       for (int i = 0; i < 2; i++) {
-        assertEquals(AttemptStatus.SUCCESS, engine.next(AttemptEnded.class).status());
+        assertEquals(AttemptStatus.SUCCESS, engine.awaitEvent(AttemptEnded.class).status());
       }
       assertEquals(2, upstream.requests.size(), "each once");
     }
--- a/src/test/java/loadbalancer/proxy/ConnectionCloseTest.java
+++ b/src/test/java/loadbalancer/proxy/ConnectionCloseTest.java
@@ -88,7 +88,7 @@
       assertTrue(
           answer.startsWith("HTTP/1.1 429 ") && answer.contains("connection: close\r\n"), answer);
       assertNull(client.answer(), "the end of the stream");
-      engine.next(RequestArrived.class);
+      engine.awaitEvent(RequestArrived.class);
       assertTrue(
           engine.events.stream().noneMatch(e -> e instanceof RequestArrived),
           "input after the shutdown becomes no request");
@@ -180,7 +180,7 @@
             .write(
                 ProxyFixture.get("t", askedByTheClient ? "Connection: close\r\n" : "")
                     .getBytes(StandardCharsets.ISO_8859_1));
-        engine.next(AttemptEnded.class);
+        engine.awaitEvent(AttemptEnded.class);
         for (int i = 0; i < 2; i++) {
           try (Client other = proxy.client()) {
             other.ask(HEALTH); // Some turns later: a close in an earlier turn is complete.
@@ -278,12 +278,12 @@
         Client other = proxy.client()) {
       assertTrue(client.ask(ProxyFixture.get("t1", "")).endsWith("\r\n\r\nfirst"));
       upstream.connections.take();
-      engine.next(AttemptEnded.class);
+      engine.awaitEvent(AttemptEnded.class);
       client.write(ProxyFixture.get("t2", "X-Customer: held\r\n"));
-      engine.next(RequestArrived.class);
+      engine.awaitEvent(RequestArrived.class);
       Thread.sleep(50); // The connection has rested for long enough to be used again.
       assertTrue(other.ask(ProxyFixture.get("cue", CUE)).startsWith("HTTP/1.1 429 "));
-      assertEquals(AttemptStatus.SUCCESS, engine.next(AttemptEnded.class).status());
+      assertEquals(AttemptStatus.SUCCESS, engine.awaitEvent(AttemptEnded.class).status());
       assertTrue(client.answer().endsWith("\r\n\r\nsecond"), "its own answer");
       assertEquals(1, upstream.connections.size(), "on another connection");
     }
--- a/src/test/java/loadbalancer/proxy/FragmentedMessageTest.java
+++ b/src/test/java/loadbalancer/proxy/FragmentedMessageTest.java
@@ -79,7 +79,7 @@
       awaitEventLoopTurns(proxy);
       read.countDown();
       String answer = client.answer();
-      assertEquals(AttemptStatus.SUCCESS, engine.next(AttemptEnded.class).status());
+      assertEquals(AttemptStatus.SUCCESS, engine.awaitEvent(AttemptEnded.class).status());
       assertTrue(answer.startsWith("HTTP/1.1 200 ") && answer.endsWith("\r\n\r\nok"), answer);
     }
   }
@@ -104,7 +104,7 @@
         ProxyFixture proxy = new ProxyFixture(one(upstream), engine);
         Client client = proxy.client()) {
       assertTrue(client.ask(ProxyFixture.get("t", "")).startsWith("HTTP/1.1 502 "));
-      assertEquals(AttemptStatus.RESET, engine.next(AttemptEnded.class).status());
+      assertEquals(AttemptStatus.RESET, engine.awaitEvent(AttemptEnded.class).status());
     }
   }
 
@@ -124,7 +124,7 @@
         ProxyFixture proxy = new ProxyFixture(one(upstream), engine);
         Client client = proxy.client()) {
       assertTrue(client.ask(ProxyFixture.get("t", "")).endsWith("\r\n\r\nok"));
-      assertEquals(AttemptStatus.SUCCESS, engine.next(AttemptEnded.class).status());
+      assertEquals(AttemptStatus.SUCCESS, engine.awaitEvent(AttemptEnded.class).status());
     }
   }
 
--- a/src/test/java/loadbalancer/proxy/GracefulShutdownTest.java
+++ b/src/test/java/loadbalancer/proxy/GracefulShutdownTest.java
@@ -274,7 +274,7 @@
         Client client = proxy.client();
         Client slow = proxy.client()) {
       client.write(ProxyFixture.get("t1", "") + ProxyFixture.get("t2", ""));
-      assertEquals("r0", engine.next(RequestArrived.class).requestId());
+      assertEquals("r0", engine.awaitEvent(RequestArrived.class).requestId());
       Thread shutdown = startShutdown(proxy);
       assertNotNull(slow.ask(HEALTH));
       // Begun before idle connections are closed, and late enough not to time out by itself.
--- a/src/test/java/loadbalancer/proxy/ReloadOrderTest.java
+++ b/src/test/java/loadbalancer/proxy/ReloadOrderTest.java
@@ -137,8 +137,8 @@
             new ProxyFixture(pushed(old.address(), ProxyFixture.list(1, true, READY)), engine);
         Client cue = proxy.client();
         Client second = proxy.client()) {
-      assertEquals(UpdateKind.CACHED, engine.next(EndpointListUpdate.class).kind());
-      assertEquals(UpdateKind.FULL, engine.next(EndpointListUpdate.class).kind());
+      assertEquals(UpdateKind.CACHED, engine.awaitEvent(EndpointListUpdate.class).kind());
+      assertEquals(UpdateKind.FULL, engine.awaitEvent(EndpointListUpdate.class).kind());
       cues.add(
           actions -> {
             if (closedFirst) {
@@ -156,7 +156,7 @@
         cues.add(actions -> reload(proxy, fresh));
       }
       cue.ask(ProxyFixture.get("cue-1", EventLoopSteps.TRIGGER_HEADER));
-      EndpointListUpdate update = engine.next(EndpointListUpdate.class);
+      EndpointListUpdate update = engine.awaitEvent(EndpointListUpdate.class);
       assertEquals(2, update.endpoints().size(), "by the new discovery's list");
       EventLoopSteps.sleep(1000); // Longer than the wait before the agent is called again.
       assertEquals(1, fresh.connections.size(), "one watch at the new address");
@@ -195,11 +195,11 @@
                 });
         ProxyFixture proxy =
             new ProxyFixture(pushed(old.address(), ProxyFixture.list(1, true, READY)), engine)) {
-      engine.next(EndpointListUpdate.class);
-      assertEquals(UpdateKind.FULL, engine.next(EndpointListUpdate.class).kind());
+      engine.awaitEvent(EndpointListUpdate.class);
+      assertEquals(UpdateKind.FULL, engine.awaitEvent(EndpointListUpdate.class).kind());
       long reloadedAt = System.nanoTime();
       reload(proxy, fresh);
-      EndpointListUpdate update = engine.next(EndpointListUpdate.class);
+      EndpointListUpdate update = engine.awaitEvent(EndpointListUpdate.class);
       assertEquals(
           List.of(EndpointState.DRAINING),
           update.endpoints().stream().map(endpoint -> endpoint.state()).toList());
--- a/src/test/java/loadbalancer/proxy/ReloadTest.java
+++ b/src/test/java/loadbalancer/proxy/ReloadTest.java
@@ -77,10 +77,10 @@
     try (FakeServer old = discovery(ProxyFixture.list(2, true, A));
         FakeServer fresh = discovery(ProxyFixture.list(3, true, A, B));
         ProxyFixture proxy = new ProxyFixture(polled(old), engine)) {
-      engine.next(EndpointListUpdate.class);
-      assertEquals(1, engine.next(EndpointListUpdate.class).endpoints().size());
+      engine.awaitEvent(EndpointListUpdate.class);
+      assertEquals(1, engine.awaitEvent(EndpointListUpdate.class).endpoints().size());
       proxy.server.reload(() -> polled(fresh));
-      EndpointListUpdate update = engine.next(EndpointListUpdate.class);
+      EndpointListUpdate update = engine.awaitEvent(EndpointListUpdate.class);
       assertEquals(UpdateKind.FULL, update.kind());
       assertEquals(2, update.endpoints().size());
       String request = fresh.requests.take();
@@ -95,8 +95,8 @@
     ScriptedEngine engine = watching();
     try (FakeServer discovery = discovery(ProxyFixture.list(2, true, A));
         ProxyFixture proxy = new ProxyFixture(polled(discovery), engine)) {
-      engine.next(EndpointListUpdate.class);
-      engine.next(EndpointListUpdate.class);
+      engine.awaitEvent(EndpointListUpdate.class);
+      engine.awaitEvent(EndpointListUpdate.class);
       proxy.server.reload(() -> BalancerConfig.parse("{\"name\":", Map.of()));
       proxy.server.reload(
           () -> {
--- a/src/test/java/loadbalancer/proxy/RemainingTimeTest.java
+++ b/src/test/java/loadbalancer/proxy/RemainingTimeTest.java
@@ -99,9 +99,9 @@
         Client client = proxy.client()) {
       long from = System.nanoTime();
       client.write(ProxyFixture.get("t", "X-Expires-In-Ms: 30000\r\n"));
-      engine.next(RequestArrived.class);
+      engine.awaitEvent(RequestArrived.class);
       if (further) {
-        assertEquals(AttemptStatus.REJECTED, engine.next(AttemptEnded.class).status());
+        assertEquals(AttemptStatus.REJECTED, engine.awaitEvent(AttemptEnded.class).status());
       }
       // The lateness itself is what is tested: the backlog has no room before this is over.
       Thread.sleep(400);
@@ -152,12 +152,12 @@
         Client other = proxy.client()) {
       upstream.set(late);
       client.write(ProxyFixture.get("t", "X-Expires-In-Ms: " + waitMillis + "\r\n"));
-      engine.next(RequestArrived.class);
+      engine.awaitEvent(RequestArrived.class);
       other.write(ProxyFixture.get("holds", "X-Size-Hint: 7\r\n"));
       try (Socket connection = accepted.get(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
         assertEquals(-1, connection.getInputStream().read(), "nothing was written");
       }
-      assertTrue(engine.next(AttemptEnded.class).status().provesNotRun());
+      assertTrue(engine.awaitEvent(AttemptEnded.class).status().provesNotRun());
       assertTrue(client.answer().startsWith("HTTP/1.1 50"), "too late");
     }
   }
--- a/src/test/java/loadbalancer/proxy/RequestDispatcherTest.java
+++ b/src/test/java/loadbalancer/proxy/RequestDispatcherTest.java
@@ -59,7 +59,7 @@
                   "X-Customer: acme\r\nCookie: a=b; sid=7f3a\r\nX-Size-Hint: 1500\r\n"
                       + "X-Second-Try: 1\r\nX-Expires-In-Ms: 480\r\n"));
       assertTrue(response.startsWith("HTTP/1.1 502 "), response);
-      RequestArrived request = engine.next(RequestArrived.class);
+      RequestArrived request = engine.awaitEvent(RequestArrived.class);
       assertEquals(
           "safe acme 7f3a 1500000 true",
           request.className()
@@ -82,8 +82,8 @@
       String response = client.ask(ProxyFixture.get("t", "X-Expires-In-Ms: 300\r\n"));
       assertTrue(response.startsWith("HTTP/1.1 504 "));
       assertEquals(
-          engine.next(RequestArrived.class).requestId(),
-          engine.next(ClientDisconnected.class).requestId(),
+          engine.awaitEvent(RequestArrived.class).requestId(),
+          engine.awaitEvent(ClientDisconnected.class).requestId(),
           "the engine is told that none is owed any more");
     }
   }
@@ -104,7 +104,7 @@
         Client held = proxy.client();
         Client bad = proxy.client()) {
       held.write(ProxyFixture.get("held", ""));
-      engine.next(RequestArrived.class);
+      engine.awaitEvent(RequestArrived.class);
       assertTrue(bad.ask(ProxyFixture.get("t", "X-Customer: bad\r\n")).startsWith("HTTP/1.1 500 "));
       assertTrue(held.answer().startsWith("HTTP/1.1 500 "));
       assertTrue(
@@ -138,13 +138,13 @@
       try (ProxyFixture proxy = new ProxyFixture(config, engine);
           Client client = proxy.client()) {
         client.write(ProxyFixture.get("t", ""));
-        assertEquals("now", engine.next(TimerFired.class).token());
+        assertEquals("now", engine.awaitEvent(TimerFired.class).token());
         DatagramPacket packet = new DatagramPacket(new byte[256], 256);
         peer.receive(packet);
         assertEquals(
             "hi 1", new String(packet.getData(), 0, packet.getLength(), StandardCharsets.UTF_8));
         peer.send(new DatagramPacket(new byte[] {7}, 1, config.gossipListenAddress()));
-        GossipReceived message = engine.next(GossipReceived.class);
+        GossipReceived message = engine.awaitEvent(GossipReceived.class);
         assertEquals(1, message.from());
         assertEquals(7, message.data()[0]);
       }
--- a/src/test/java/loadbalancer/proxy/StartupTest.java
+++ b/src/test/java/loadbalancer/proxy/StartupTest.java
@@ -120,8 +120,8 @@
               generation -> engine,
               TimeUnit.SECONDS.toMillis(ProxyFixture.TIMEOUT_SECONDS));
       prepared.countDown();
-      assertEquals(UpdateKind.CACHED, engine.next(EndpointListUpdate.class).kind());
-      EndpointListUpdate update = engine.next(EndpointListUpdate.class);
+      assertEquals(UpdateKind.CACHED, engine.awaitEvent(EndpointListUpdate.class).kind());
+      EndpointListUpdate update = engine.awaitEvent(EndpointListUpdate.class);
       assertEquals(EndpointState.DRAINING, update.endpoints().get(0).state());
       server.shutDownNow();
     }
--- a/src/test/java/loadbalancer/testing/ProxyFixture.java
+++ b/src/test/java/loadbalancer/testing/ProxyFixture.java
@@ -52,7 +52,7 @@
       void on(Event event, Consumer<Action> actions);
     }
 
-    /** The events that {@link #next} has not returned or skipped yet. */
+    /** The events that {@link #awaitEvent} has not returned or skipped yet. */
     public final BlockingQueue<Event> events = new LinkedBlockingQueue<>();
 
     /** The ids of all endpoints that it was notified of, each once and in that order. */
@@ -93,7 +93,7 @@
     }
 
     /** Waits for the next event of a kind, and skips all others before it. */
-    public <T extends Event> T next(Class<T> kind) throws InterruptedException {
+    public <T extends Event> T awaitEvent(Class<T> kind) throws InterruptedException {
       while (true) {
         Event event = events.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         assertNotNull(event, "no " + kind.getSimpleName() + " came");
--- a/src/test/java/loadbalancer/upstream/AttemptLimitTest.java
+++ b/src/test/java/loadbalancer/upstream/AttemptLimitTest.java
@@ -46,9 +46,9 @@
         Client client = proxy.client()) {
       client.ask(ProxyFixture.get("t", ""));
       for (int i = 0; i < 6; i++) {
-        assertEquals(AttemptStatus.ERROR, engine.next(AttemptEnded.class).status());
+        assertEquals(AttemptStatus.ERROR, engine.awaitEvent(AttemptEnded.class).status());
       }
-      assertEquals(AttemptStatus.NOT_SENT, engine.next(AttemptEnded.class).status());
+      assertEquals(AttemptStatus.NOT_SENT, engine.awaitEvent(AttemptEnded.class).status());
       assertEquals(6, upstream.requests.size());
     }
   }
@@ -80,7 +80,7 @@
         Client third = proxy.client()) {
       // Three connections of clients, three to upstreams.
       first.ask(ProxyFixture.get("t1", ""));
-      assertEquals(AttemptStatus.SUCCESS, engine.next(AttemptEnded.class).status());
+      assertEquals(AttemptStatus.SUCCESS, engine.awaitEvent(AttemptEnded.class).status());
       List<Client> clients = List.of(second, third, first);
       for (int i = 0; i < 3; i++) {
         clients.get(i).write(ProxyFixture.get("busy" + i, "X-Customer: true\r\n"));
@@ -93,7 +93,7 @@
       }
       assertEquals(
           AttemptStatus.NOT_SENT,
-          engine.next(AttemptEnded.class).status(),
+          engine.awaitEvent(AttemptEnded.class).status(),
           "nothing is idle, and the endpoint is not to blame");
       done.countDown();
     }
--- a/src/test/java/loadbalancer/upstream/AttemptTimeoutTest.java
+++ b/src/test/java/loadbalancer/upstream/AttemptTimeoutTest.java
@@ -32,7 +32,7 @@
       client.ask(ProxyFixture.get("t", ""));
       assertEquals(
           AttemptStatus.CONNECT_FAILED,
-          engine.next(AttemptEnded.class).status(),
+          engine.awaitEvent(AttemptEnded.class).status(),
           "it was never written");
     }
   }
@@ -54,13 +54,13 @@
         ProxyFixture proxy = new ProxyFixture(SingleEndpoint.config(upstream.address()), engine);
         Client client = proxy.client()) {
       assertTrue(client.ask(ProxyFixture.get("slow", "")).startsWith("HTTP/1.1 502 "));
-      assertEquals(AttemptStatus.TIMEOUT, engine.next(AttemptEnded.class).status());
+      assertEquals(AttemptStatus.TIMEOUT, engine.awaitEvent(AttemptEnded.class).status());
       FakeServer.Connection slow = upstream.connections.take();
       assertTrue(slow.awaitClose(), "closed before anything was sent on it");
       late.countDown();
       assertTrue(client.ask(ProxyFixture.get("next", "")).endsWith("\r\n\r\nfresh"));
       assertEquals(1, upstream.connections.size(), "on a new connection");
-      assertEquals(AttemptStatus.SUCCESS, engine.next(AttemptEnded.class).status());
+      assertEquals(AttemptStatus.SUCCESS, engine.awaitEvent(AttemptEnded.class).status());
     }
   }
 }
--- a/src/test/java/loadbalancer/upstream/ConnectFailureTest.java
+++ b/src/test/java/loadbalancer/upstream/ConnectFailureTest.java
@@ -28,7 +28,7 @@
     try (ProxyFixture proxy = new ProxyFixture(SingleEndpoint.config(closed), engine);
         Client client = proxy.client()) {
       client.ask(ProxyFixture.get("t", ""));
-      assertEquals(AttemptStatus.CONNECT_FAILED, engine.next(AttemptEnded.class).status());
+      assertEquals(AttemptStatus.CONNECT_FAILED, engine.awaitEvent(AttemptEnded.class).status());
     }
   }
 
@@ -39,7 +39,7 @@
         ProxyFixture proxy = new ProxyFixture(SingleEndpoint.config(upstream.address()), engine);
         Client client = proxy.client()) {
       client.ask(ProxyFixture.get("t", ""));
-      assertEquals(AttemptStatus.CONNECT_FAILED, engine.next(AttemptEnded.class).status());
+      assertEquals(AttemptStatus.CONNECT_FAILED, engine.awaitEvent(AttemptEnded.class).status());
     }
   }
 }
--- a/src/test/java/loadbalancer/upstream/ConnectionReuseTest.java
+++ b/src/test/java/loadbalancer/upstream/ConnectionReuseTest.java
@@ -35,8 +35,8 @@
       client.ask(ProxyFixture.get("t1", ""));
       assertTrue(upstream.connections.take().awaitClose());
       client.ask(ProxyFixture.get("t2", ""));
-      assertEquals(AttemptStatus.SUCCESS, engine.next(AttemptEnded.class).status());
-      assertEquals(AttemptStatus.SUCCESS, engine.next(AttemptEnded.class).status());
+      assertEquals(AttemptStatus.SUCCESS, engine.awaitEvent(AttemptEnded.class).status());
+      assertEquals(AttemptStatus.SUCCESS, engine.awaitEvent(AttemptEnded.class).status());
     }
   }
 
--- a/src/test/java/loadbalancer/upstream/HealthCheckTest.java
+++ b/src/test/java/loadbalancer/upstream/HealthCheckTest.java
@@ -38,7 +38,7 @@
         ProxyFixture proxy = new ProxyFixture(SingleEndpoint.config(upstream.address()), engine);
         Client client = proxy.client()) {
       client.ask(ProxyFixture.get("t", ""));
-      assertEquals(AttemptStatus.SUCCESS, engine.next(HealthCheckResult.class).status());
+      assertEquals(AttemptStatus.SUCCESS, engine.awaitEvent(HealthCheckResult.class).status());
       String healthCheck = upstream.requests.take();
       assertTrue(
           healthCheck.startsWith("GET /healthz HTTP/1.1\r\n")
--- a/src/test/java/loadbalancer/upstream/ResponseParsingTest.java
+++ b/src/test/java/loadbalancer/upstream/ResponseParsingTest.java
@@ -56,7 +56,7 @@
         ProxyFixture proxy = new ProxyFixture(SingleEndpoint.config(upstream.address()), engine);
         Client client = proxy.client()) {
       String received = client.ask(ProxyFixture.get("t", ""));
-      AttemptEnded ended = engine.next(AttemptEnded.class);
+      AttemptEnded ended = engine.awaitEvent(AttemptEnded.class);
       assertEquals(status, ended.status());
       assertEquals(status == AttemptStatus.SUCCESS, ended.isRequestAnswered());
       boolean expected =
@@ -90,7 +90,7 @@
         ProxyFixture proxy = new ProxyFixture(SingleEndpoint.config(upstream.address()), engine);
         Client client = proxy.client()) {
       assertTrue(client.ask(ProxyFixture.get("t", "")).startsWith("HTTP/1.1 502 "));
-      assertEquals(AttemptStatus.RESET, engine.next(AttemptEnded.class).status());
+      assertEquals(AttemptStatus.RESET, engine.awaitEvent(AttemptEnded.class).status());
       assertTrue(upstream.connections.take().awaitClose(), "its connection is closed");
     }
   }
@@ -102,7 +102,7 @@
         ProxyFixture proxy = new ProxyFixture(SingleEndpoint.config(upstream.address()), engine);
         Client client = proxy.client()) {
       client.ask(ProxyFixture.get("t", ""));
-      assertEquals(AttemptStatus.RESET, engine.next(AttemptEnded.class).status());
+      assertEquals(AttemptStatus.RESET, engine.awaitEvent(AttemptEnded.class).status());
     }
   }
 
@@ -116,7 +116,8 @@
         Client client = proxy.client()) {
       client.ask(ProxyFixture.get("t", ""));
       assertEquals(
-          Map.of("inflight", 7.0, "util", 0.61), engine.next(AttemptEnded.class).loadReport());
+          Map.of("inflight", 7.0, "util", 0.61),
+          engine.awaitEvent(AttemptEnded.class).loadReport());
     }
   }
 }
--- a/src/test/java/loadbalancer/upstream/WithdrawnAttemptTest.java
+++ b/src/test/java/loadbalancer/upstream/WithdrawnAttemptTest.java
@@ -83,9 +83,9 @@
       try (ProxyFixture proxy = new ProxyFixture(config, engine);
           Client client = proxy.client()) {
         client.write(ProxyFixture.get("t", ""));
-        engine.next(RequestArrived.class);
+        engine.awaitEvent(RequestArrived.class);
         drain.countDown();
-        assertEquals(AttemptStatus.NOT_SENT, engine.next(AttemptEnded.class).status());
+        assertEquals(AttemptStatus.NOT_SENT, engine.awaitEvent(AttemptEnded.class).status());
       }
     }
   }
@@ -101,10 +101,10 @@
                 engine)) {
       try (Client client = proxy.client()) {
         client.write(ProxyFixture.get("t", ""));
-        engine.next(RequestArrived.class);
+        engine.awaitEvent(RequestArrived.class);
       }
-      engine.next(ClientDisconnected.class);
-      assertEquals(AttemptStatus.NOT_SENT, engine.next(AttemptEnded.class).status());
+      engine.awaitEvent(ClientDisconnected.class);
+      assertEquals(AttemptStatus.NOT_SENT, engine.awaitEvent(AttemptEnded.class).status());
     }
   }
 
@@ -144,12 +144,12 @@
       try (ProxyFixture proxy = new ProxyFixture(config, engine);
           Client client = proxy.client()) {
         client.write(ProxyFixture.post("t", "Idempotency-Key: k\r\n", "body"));
-        assertEquals(AttemptStatus.RESET, engine.next(AttemptEnded.class).status());
+        assertEquals(AttemptStatus.RESET, engine.awaitEvent(AttemptEnded.class).status());
         Thread.sleep(400); // The window is over before the connection can be established.
         try (Socket connection = late.accept()) {
           assertEquals(-1, connection.getInputStream().read(), "nothing was written");
         }
-        assertEquals(AttemptStatus.NOT_SENT, engine.next(AttemptEnded.class).status());
+        assertEquals(AttemptStatus.NOT_SENT, engine.awaitEvent(AttemptEnded.class).status());
         assertTrue(client.answer().startsWith("HTTP/1.1 502 "));
       }
     }
@@ -188,7 +188,7 @@
       try (ProxyFixture proxy = new ProxyFixture(config, engine);
           Client client = proxy.client()) {
         assertTrue(client.ask(ProxyFixture.get("t", "")).startsWith("HTTP/1.1 502 "));
-        assertEquals(AttemptStatus.NOT_SENT, engine.next(AttemptEnded.class).status());
+        assertEquals(AttemptStatus.NOT_SENT, engine.awaitEvent(AttemptEnded.class).status());
         assertNull(upstream.requests.poll());
       }
     }
@@ -212,7 +212,7 @@
         // A reset: a client that has only ended its sending may still be listening.
         client.socket.setSoLinger(true, 0);
       }
-      assertEquals(AttemptStatus.CANCELLED, engine.next(AttemptEnded.class).status());
+      assertEquals(AttemptStatus.CANCELLED, engine.awaitEvent(AttemptEnded.class).status());
       assertTrue(connection.awaitClose());
     }
   }
