--- a/src/test/java/loadbalancer/downstream/ClientDisconnectTest.java
+++ b/src/test/java/loadbalancer/downstream/ClientDisconnectTest.java
@@ -80,8 +80,9 @@
       client.write(ProxyFixture.get("leaves", ""));
       assertEquals(AttemptStatus.NOT_SENT, engine.awaitEvent(AttemptEnded.class).status());
       if (departure == Departure.HALF_CLOSE) {
-        assertTrue(client.answer().startsWith("HTTP/1.1 503 "), "a final response: it has not run");
-        assertNull(client.answer());
+        assertTrue(
+            client.readResponse().startsWith("HTTP/1.1 503 "), "a final response: it has not run");
+        assertNull(client.readResponse());
       }
       assertTrue(other.ask(ProxyFixture.get("stays", "")).startsWith("HTTP/1.1 200 "));
       assertTrue(
@@ -116,7 +117,7 @@
       assertEquals(AttemptStatus.NOT_SENT, retry.status());
       assertTrue(retry.isRequestAnswered(), "no further action of the engine is expected");
       if (departure == Departure.HALF_CLOSE) {
-        assertTrue(client.answer().startsWith("HTTP/1.1 503 "), "it has not run");
+        assertTrue(client.readResponse().startsWith("HTTP/1.1 503 "), "it has not run");
       }
       assertTrue(second.connections.isEmpty(), "not sent");
     }
--- a/src/test/java/loadbalancer/downstream/ClientHalfCloseTest.java
+++ b/src/test/java/loadbalancer/downstream/ClientHalfCloseTest.java
@@ -59,8 +59,8 @@
       AttemptEnded ended = engine.awaitEvent(AttemptEnded.class);
       assertEquals(AttemptStatus.ERROR, ended.status());
       assertTrue(ended.isRequestAnswered(), "no further action of the engine is expected");
-      assertTrue(client.answer().startsWith("HTTP/1.1 500 "), "it may have run");
-      assertNull(client.answer());
+      assertTrue(client.readResponse().startsWith("HTTP/1.1 500 "), "it may have run");
+      assertNull(client.readResponse());
       assertNull(upstream.requests.poll(), "not sent again");
     }
   }
@@ -88,9 +88,9 @@
       client.socket.shutdownOutput();
       DownstreamFixture.awaitInputRead(proxy);
       signal.countDown();
-      String response = client.answer();
+      String response = client.readResponse();
       assertTrue(response.startsWith("HTTP/1.1 200 ") && response.endsWith("\r\n\r\nx"), response);
-      assertNull(client.answer(), "and then the connection ends");
+      assertNull(client.readResponse(), "and then the connection ends");
     }
   }
 
@@ -124,8 +124,8 @@
       assertEquals(AttemptStatus.NOT_SENT, hedge.status());
       assertEquals(1, hedge.attempt());
       signal.countDown();
-      assertTrue(client.answer().endsWith("\r\n\r\nx"), "the response to the first attempt");
-      assertNull(client.answer());
+      assertTrue(client.readResponse().endsWith("\r\n\r\nx"), "the response to the first attempt");
+      assertNull(client.readResponse());
       assertTrue(second.requests.isEmpty(), "not sent");
     }
   }
@@ -140,8 +140,8 @@
       client.write(ProxyFixture.get("t", ""));
       engine.awaitEvent(RequestArrived.class);
       client.socket.shutdownOutput();
-      assertTrue(client.answer().startsWith("HTTP/1.1 503 "), "it has not run");
-      assertNull(client.answer());
+      assertTrue(client.readResponse().startsWith("HTTP/1.1 503 "), "it has not run");
+      assertNull(client.readResponse());
       engine.awaitEvent(ClientDisconnected.class);
       assertEquals(AttemptStatus.NOT_SENT, engine.awaitEvent(AttemptEnded.class).status());
     }
@@ -168,9 +168,9 @@
       client.socket.shutdownOutput();
       DownstreamFixture.awaitInputRead(proxy);
       signal.countDown();
-      assertTrue(client.answer().startsWith("HTTP/1.1 200 "));
-      assertTrue(client.answer().startsWith("HTTP/1.1 503 "), "it has not run");
-      assertNull(client.answer());
+      assertTrue(client.readResponse().startsWith("HTTP/1.1 200 "));
+      assertTrue(client.readResponse().startsWith("HTTP/1.1 503 "), "it has not run");
+      assertNull(client.readResponse());
       assertNull(upstream.requests.poll(), "not sent");
     }
   }
@@ -185,7 +185,7 @@
         Client client = proxy.client()) {
       client.write(part);
       client.socket.shutdownOutput();
-      assertNull(client.answer());
+      assertNull(client.readResponse());
       assertFalse(client.socket.isClosed());
     }
   }
--- a/src/test/java/loadbalancer/downstream/MisbehavingClientTest.java
+++ b/src/test/java/loadbalancer/downstream/MisbehavingClientTest.java
@@ -52,12 +52,12 @@
       String text =
           malformed.trim().replaceFirst("HTTP/1.1~", "HTTP/1.1~" + headers).replace("~", "\r\n");
       client.write(text + ProxyFixture.get("hidden", ""));
-      String response = client.answer();
+      String response = client.readResponse();
       assertTrue(
           response.startsWith("HTTP/1.1 " + status + " ")
               && response.contains("connection: close\r\n"),
           response);
-      assertNull(client.answer());
+      assertNull(client.readResponse());
       try (Client wellBehaved = proxy.client()) {
         assertTrue(wellBehaved.ask(ProxyFixture.get("good", "")).startsWith("HTTP/1.1 200 "));
       }
@@ -76,12 +76,12 @@
       String overlong = "x".repeat(10_000);
       assertTrue(
           first.ask("GET /api?" + overlong + " HTTP/1.1\r\n\r\n").startsWith("HTTP/1.1 414 "));
-      assertNull(first.answer());
+      assertNull(first.readResponse());
       assertTrue(
           second
               .ask(ProxyFixture.get("t", "X-Long: " + overlong + "\r\n"))
               .startsWith("HTTP/1.1 431 "));
-      assertNull(second.answer());
+      assertNull(second.readResponse());
     }
   }
 
@@ -96,9 +96,9 @@
       assertNotNull(upstream.requests.poll(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS));
       client.write("POST /api HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 65537\r\n\r\n");
       invalidSent.countDown();
-      assertTrue(client.answer().endsWith("\r\n\r\nfirst"));
-      assertTrue(client.answer().startsWith("HTTP/1.1 413 "));
-      assertNull(client.answer());
+      assertTrue(client.readResponse().endsWith("\r\n\r\nfirst"));
+      assertTrue(client.readResponse().startsWith("HTTP/1.1 413 "));
+      assertNull(client.readResponse());
     }
   }
 
@@ -121,7 +121,9 @@
       }
       signal.countDown();
       List<String> responses = new ArrayList<>();
-      for (String response = client.answer(); response != null; response = client.answer()) {
+      for (String response = client.readResponse();
+          response != null;
+          response = client.readResponse()) {
         responses.add(response);
       }
       String last = responses.get(responses.size() - 1);
@@ -143,7 +145,7 @@
       assertNotNull(upstream.requests.poll(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS));
       assertTrue(imitator.ask(ProxyFixture.get("t", "")).startsWith("HTTP/1.1 409 "));
       signal.countDown();
-      assertTrue(client.answer().startsWith("HTTP/1.1 200 "));
+      assertTrue(client.readResponse().startsWith("HTTP/1.1 200 "));
       assertTrue(imitator.ask(ProxyFixture.get("t", "")).startsWith("HTTP/1.1 200 "), "free again");
       assertEquals(2, upstream.requests.size() + 1);
     }
@@ -179,9 +181,9 @@
     try (ProxyFixture proxy = new ProxyFixture(config);
         Client client = proxy.client()) {
       client.write(part.replace("~", "\r\n"));
-      String response = client.answer();
+      String response = client.readResponse();
       assertTrue(expected.isEmpty() ? response == null : response.startsWith(expected), response);
-      assertTrue(response == null || client.answer() == null, "and the connection ends");
+      assertTrue(response == null || client.readResponse() == null, "and the connection ends");
     }
   }
 
@@ -200,12 +202,12 @@
       for (int i = 0; i < 60; i++) {
         silent.add(proxy.client());
       }
-      assertNull(silent.get(0).answer(), "closed");
+      assertNull(silent.get(0).readResponse(), "closed");
       assertTrue(
           idle.ask(DownstreamFixture.HEALTH_CHECK).startsWith("HTTP/1.1 200 "),
           "one that has sent a request stays");
       signal.countDown();
-      assertTrue(served.answer().startsWith("HTTP/1.1 200 "));
+      assertTrue(served.readResponse().startsWith("HTTP/1.1 200 "));
     } finally {
       for (Client client : silent) {
         client.close();
@@ -230,8 +232,8 @@
         other.ask(DownstreamFixture.HEALTH_CHECK);
       }
       late.write(part);
-      assertTrue(late.answer().startsWith("HTTP/1.1 413 "));
-      assertNull(late.answer());
+      assertTrue(late.readResponse().startsWith("HTTP/1.1 413 "));
+      assertNull(late.readResponse());
     }
   }
 
--- a/src/test/java/loadbalancer/proxy/AttemptEndOrderTest.java
+++ b/src/test/java/loadbalancer/proxy/AttemptEndOrderTest.java
@@ -195,14 +195,14 @@
       cue.ask(ProxyFixture.get("cue-1", EventLoopSteps.TRIGGER_HEADER));
       AttemptEnded first = engine.awaitEvent(AttemptEnded.class);
       assertEquals(ends.status, first.status());
-      String response = client.answer();
+      String response = client.readResponse();
       boolean succeeds = ends.status == AttemptStatus.SUCCESS;
       assertTrue(response.startsWith(succeeds ? "HTTP/1.1 200 " : "HTTP/1.1 502 "), response);
       // And the next request gets its own response, on whatever connection.
       client.write(ProxyFixture.get("t2", ""));
       upstream.awaitRequest();
       upstream.does(connection -> connection.write(FakeServer.ok("second")));
-      assertTrue(client.answer().endsWith("\r\n\r\nsecond"), "its own response");
+      assertTrue(client.readResponse().endsWith("\r\n\r\nsecond"), "its own response");
       assertNotEquals(
           first.requestId(),
           engine.awaitEvent(AttemptEnded.class).requestId(),
--- a/src/test/java/loadbalancer/proxy/BrokenConnectionTest.java
+++ b/src/test/java/loadbalancer/proxy/BrokenConnectionTest.java
@@ -80,7 +80,7 @@
         }
       }
       read.countDown();
-      String answer = client.answer();
+      String answer = client.readResponse();
       assertTrue(answer.startsWith("HTTP/1.1 502 ") && !answer.contains("part"), answer);
       assertEquals(AttemptStatus.RESET, engine.awaitEvent(AttemptEnded.class).status());
     }
--- a/src/test/java/loadbalancer/proxy/ClientFloodTest.java
+++ b/src/test/java/loadbalancer/proxy/ClientFloodTest.java
@@ -63,7 +63,7 @@
   private static List<String> answers(Client client) {
     List<String> answers = new ArrayList<>();
     try {
-      for (String answer = client.answer(); answer != null; answer = client.answer()) {
+      for (String answer = client.readResponse(); answer != null; answer = client.readResponse()) {
         answers.add(answer);
       }
     } catch (IOException e) {
@@ -219,11 +219,11 @@
         Client client = proxy.client()) {
       long from = System.nanoTime();
       client.write(HEALTH + "GET /api HT");
-      assertTrue(client.answer().startsWith("HTTP/1.1 503 "));
-      String answer = client.answer();
+      assertTrue(client.readResponse().startsWith("HTTP/1.1 503 "));
+      String answer = client.readResponse();
       assertNotNull(answer, "closed without a word");
       assertTrue(answer.startsWith("HTTP/1.1 408 "), answer);
-      assertNull(client.answer());
+      assertNull(client.readResponse());
       assertEquals(
           0,
           TimeUnit.NANOSECONDS.toSeconds(System.nanoTime() - from) / 10,
--- a/src/test/java/loadbalancer/proxy/ConnectionCloseTest.java
+++ b/src/test/java/loadbalancer/proxy/ConnectionCloseTest.java
@@ -87,7 +87,7 @@
           client.ask(ProxyFixture.get("t", askedByTheClient ? "Connection: close\r\n" : ""));
       assertTrue(
           answer.startsWith("HTTP/1.1 429 ") && answer.contains("connection: close\r\n"), answer);
-      assertNull(client.answer(), "the end of the stream");
+      assertNull(client.readResponse(), "the end of the stream");
       engine.awaitEvent(RequestArrived.class);
       assertTrue(
           engine.events.stream().noneMatch(e -> e instanceof RequestArrived),
@@ -119,10 +119,10 @@
       String first = client.ask(ProxyFixture.get("t", ""));
       assertTrue(first.startsWith("HTTP/1.1 429 "), first);
       assertFalse(first.contains("connection: close\r\n"), first);
-      String second = client.answer();
+      String second = client.readResponse();
       assertNotNull(second, "closed over the request");
       assertTrue(second.contains("connection: close\r\n"), second);
-      assertNull(client.answer(), "the end of the stream");
+      assertNull(client.readResponse(), "the end of the stream");
     }
   }
 
@@ -284,7 +284,7 @@
       Thread.sleep(50); // The connection has rested for long enough to be used again.
       assertTrue(other.ask(ProxyFixture.get("cue", CUE)).startsWith("HTTP/1.1 429 "));
       assertEquals(AttemptStatus.SUCCESS, engine.awaitEvent(AttemptEnded.class).status());
-      assertTrue(client.answer().endsWith("\r\n\r\nsecond"), "its own answer");
+      assertTrue(client.readResponse().endsWith("\r\n\r\nsecond"), "its own answer");
       assertEquals(1, upstream.connections.size(), "on another connection");
     }
   }
@@ -339,10 +339,10 @@
         started.set(proxy);
         lying.set(crossing);
         assertTrue(cue.ask(ProxyFixture.get("cue", CUE)).startsWith("HTTP/1.1 429 "));
-        String answer = crossing.answer();
+        String answer = crossing.readResponse();
         assertNotNull(answer, "closed over its request");
         assertTrue(answer.startsWith("HTTP/1.1 429 "), answer);
-        assertNull(resting.answer(), "closed in its place");
+        assertNull(resting.readResponse(), "closed in its place");
         accepted.get(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS).close();
       }
     }
@@ -365,7 +365,7 @@
       Thread stop = new Thread(proxy.server::shutDownGracefully);
       stop.start();
       proxy.server.awaitShutdownStart();
-      assertNull(resting.answer(), "the end");
+      assertNull(resting.readResponse(), "the end");
       stop.join(TimeUnit.SECONDS.toMillis(ProxyFixture.TIMEOUT_SECONDS));
       assertFalse(stop.isAlive(), "ends");
       assertTrue(engine.events.stream().noneMatch(e -> e instanceof RequestArrived));
--- a/src/test/java/loadbalancer/proxy/FragmentedMessageTest.java
+++ b/src/test/java/loadbalancer/proxy/FragmentedMessageTest.java
@@ -78,7 +78,7 @@
       begun.await();
       awaitEventLoopTurns(proxy);
       read.countDown();
-      String answer = client.answer();
+      String answer = client.readResponse();
       assertEquals(AttemptStatus.SUCCESS, engine.awaitEvent(AttemptEnded.class).status());
       assertTrue(answer.startsWith("HTTP/1.1 200 ") && answer.endsWith("\r\n\r\nok"), answer);
     }
@@ -174,7 +174,7 @@
       for (int i = 0; i < request.length(); i++) {
         client.write(request.substring(i, i + 1));
       }
-      assertTrue(client.answer().startsWith("HTTP/1.1 200 "));
+      assertTrue(client.readResponse().startsWith("HTTP/1.1 200 "));
       String got = upstream.requests.poll(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS);
       assertNotNull(got);
       assertTrue(got.endsWith("\r\n\r\nbody") && got.contains("Idempotency-Key: k\r\n"), got);
--- a/src/test/java/loadbalancer/proxy/GracefulShutdownTest.java
+++ b/src/test/java/loadbalancer/proxy/GracefulShutdownTest.java
@@ -101,12 +101,12 @@
       idle.set(client);
       assertNotNull(client.ask(HEALTH), "open, and then idle");
       assertTrue(other.ask(ProxyFixture.get("cue", CUE)).startsWith("HTTP/1.1 429 "));
-      String response = client.answer();
+      String response = client.readResponse();
       assertNotNull(response, "closed over the request");
       assertTrue(
           response.startsWith("HTTP/1.1 429 ") && response.contains("connection: close\r\n"),
           response);
-      assertNull(client.answer());
+      assertNull(client.readResponse());
     }
   }
 
@@ -168,7 +168,7 @@
       open.set(client);
       assertTrue(other.ask(ProxyFixture.get("cue", CUE)).startsWith("HTTP/1.1 429 "));
       try (Client found = crossed.get(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
-        String response = found.answer();
+        String response = found.readResponse();
         assertNotNull(response, "closed over the request");
         assertTrue(response.startsWith("HTTP/1.1 429 "), response);
       }
@@ -207,7 +207,7 @@
       Thread.sleep(50);
       late.write(ProxyFixture.get("unread", ""));
       for (Client client : List.of(waiting, busy, late)) {
-        assertTrue(client.answer().startsWith("HTTP/1.1 50"), "a complete response");
+        assertTrue(client.readResponse().startsWith("HTTP/1.1 50"), "a complete response");
       }
       awaitEnd(shutdown);
       long tookMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - from);
@@ -255,9 +255,9 @@
       try (Client late = proxy.client()) {
         assertTrue(late.ask(HEALTH).startsWith("HTTP/1.1 503 "), "sends clients elsewhere");
         assertTrue(late.ask(ProxyFixture.get("t2", "")).startsWith("HTTP/1.1 200 "));
-        assertNull(late.answer(), "and the connection ends");
+        assertNull(late.readResponse(), "and the connection ends");
       }
-      assertNull(old.answer(), "as does one from before");
+      assertNull(old.readResponse(), "as does one from before");
       shutdown.join(TimeUnit.SECONDS.toMillis(ProxyFixture.TIMEOUT_SECONDS));
       assertTrue(!shutdown.isAlive(), "ends once no client is left");
     }
@@ -280,9 +280,9 @@
       // Begun before idle connections are closed, and late enough not to time out by itself.
       Thread.sleep(1700);
       slow.write("POST /api HT");
-      assertTrue(client.answer().startsWith("HTTP/1.1 500 "), "in flight");
-      assertTrue(client.answer().startsWith("HTTP/1.1 503 "), "it has not been attempted");
-      assertTrue(slow.answer().startsWith("HTTP/1.1 408 "));
+      assertTrue(client.readResponse().startsWith("HTTP/1.1 500 "), "in flight");
+      assertTrue(client.readResponse().startsWith("HTTP/1.1 503 "), "it has not been attempted");
+      assertTrue(slow.readResponse().startsWith("HTTP/1.1 408 "));
       awaitEnd(shutdown);
     }
   }
--- a/src/test/java/loadbalancer/proxy/ProxyTest.java
+++ b/src/test/java/loadbalancer/proxy/ProxyTest.java
@@ -160,8 +160,8 @@
         ProxyFixture proxy = new ProxyFixture(only(upstream));
         Client client = proxy.client()) {
       client.write(ProxyFixture.get("first", "") + ProxyFixture.get("second", ""));
-      assertTrue(client.answer().endsWith("\r\n\r\n1"));
-      assertTrue(client.answer().endsWith("\r\n\r\n2"));
+      assertTrue(client.readResponse().endsWith("\r\n\r\n1"));
+      assertTrue(client.readResponse().endsWith("\r\n\r\n2"));
     }
   }
 }
--- a/src/test/java/loadbalancer/proxy/RemainingTimeTest.java
+++ b/src/test/java/loadbalancer/proxy/RemainingTimeTest.java
@@ -113,7 +113,7 @@
             "told " + told + " ms of 30000 when " + passed + " had passed");
         assertTrue(told > 0, "told " + told);
         connection.getOutputStream().write(FakeServer.ok("x").getBytes(StandardCharsets.US_ASCII));
-        assertTrue(client.answer().startsWith("HTTP/1.1 200 "));
+        assertTrue(client.readResponse().startsWith("HTTP/1.1 200 "));
       }
     }
   }
@@ -158,7 +158,7 @@
         assertEquals(-1, connection.getInputStream().read(), "nothing was written");
       }
       assertTrue(engine.awaitEvent(AttemptEnded.class).status().provesNotRun());
-      assertTrue(client.answer().startsWith("HTTP/1.1 50"), "too late");
+      assertTrue(client.readResponse().startsWith("HTTP/1.1 50"), "too late");
     }
   }
 
@@ -189,10 +189,10 @@
       Thread.sleep(400); // The time itself is what is tested.
       long passed = millisSince(from);
       cue.countDown();
-      assertTrue(client.answer().startsWith("HTTP/1.1 200 "));
-      String brief = client.answer();
+      assertTrue(client.readResponse().startsWith("HTTP/1.1 200 "));
+      String brief = client.readResponse();
       assertTrue(brief.startsWith("HTTP/1.1 50") || brief.startsWith("HTTP/1.1 429 "), brief);
-      assertTrue(client.answer().startsWith("HTTP/1.1 200 "));
+      assertTrue(client.readResponse().startsWith("HTTP/1.1 200 "));
       String patient = upstream.requests.take();
       assertTrue(
           patient.contains("X-Trace-Id: patient\r\n"),
--- a/src/test/java/loadbalancer/proxy/RequestDispatcherTest.java
+++ b/src/test/java/loadbalancer/proxy/RequestDispatcherTest.java
@@ -106,7 +106,7 @@
       held.write(ProxyFixture.get("held", ""));
       engine.awaitEvent(RequestArrived.class);
       assertTrue(bad.ask(ProxyFixture.get("t", "X-Customer: bad\r\n")).startsWith("HTTP/1.1 500 "));
-      assertTrue(held.answer().startsWith("HTTP/1.1 500 "));
+      assertTrue(held.readResponse().startsWith("HTTP/1.1 500 "));
       assertTrue(
           bad.ask(ProxyFixture.get("t2", "X-Customer: good\r\n")).startsWith("HTTP/1.1 429 "));
     }
@@ -194,7 +194,7 @@
       held.await();
       client.write(ProxyFixture.get("brief", "X-Expires-In-Ms: 300\r\n"));
       written.countDown();
-      assertTrue(client.answer().startsWith("HTTP/1.1 50"), "too late");
+      assertTrue(client.readResponse().startsWith("HTTP/1.1 50"), "too late");
       assertNull(upstream.requests.poll(), "not sent");
     }
   }
--- a/src/test/java/loadbalancer/testing/ProxyFixture.java
+++ b/src/test/java/loadbalancer/testing/ProxyFixture.java
@@ -129,13 +129,13 @@
     }
 
     /** Waits for the next response; null once the proxy has closed. */
-    public String answer() throws IOException {
+    public String readResponse() throws IOException {
       return FakeServer.MessageReader.read(in);
     }
 
     /** Sends a request and waits for the response. */
     public String ask(String text) throws IOException {
-      return write(text).answer();
+      return write(text).readResponse();
     }
 
     @Override
--- a/src/test/java/loadbalancer/upstream/WithdrawnAttemptTest.java
+++ b/src/test/java/loadbalancer/upstream/WithdrawnAttemptTest.java
@@ -150,7 +150,7 @@
           assertEquals(-1, connection.getInputStream().read(), "nothing was written");
         }
         assertEquals(AttemptStatus.NOT_SENT, engine.awaitEvent(AttemptEnded.class).status());
-        assertTrue(client.answer().startsWith("HTTP/1.1 502 "));
+        assertTrue(client.readResponse().startsWith("HTTP/1.1 502 "));
       }
     }
   }
