--- a/src/test/java/loadbalancer/downstream/ClientDisconnectTest.java
+++ b/src/test/java/loadbalancer/downstream/ClientDisconnectTest.java
@@ -84,7 +84,7 @@
             client.readResponse().startsWith("HTTP/1.1 503 "), "a final response: it has not run");
         assertNull(client.readResponse());
       }
-      assertTrue(other.ask(ProxyFixture.get("stays", "")).startsWith("HTTP/1.1 200 "));
+      assertTrue(other.exchange(ProxyFixture.get("stays", "")).startsWith("HTTP/1.1 200 "));
       assertTrue(
           upstream.requests.take().contains("X-Trace-Id: stays\r\n"), "the only one that was sent");
     }
--- a/src/test/java/loadbalancer/downstream/ClientHalfCloseTest.java
+++ b/src/test/java/loadbalancer/downstream/ClientHalfCloseTest.java
@@ -119,7 +119,7 @@
       client.write(ProxyFixture.get("t", ""));
       awaitRequest(first);
       String trigger = ProxyFixture.get("trigger", "X-Size-Hint: 7\r\n");
-      assertTrue(other.ask(trigger).startsWith("HTTP/1.1 429 "));
+      assertTrue(other.exchange(trigger).startsWith("HTTP/1.1 429 "));
       AttemptEnded hedge = engine.awaitEvent(AttemptEnded.class);
       assertEquals(AttemptStatus.NOT_SENT, hedge.status());
       assertEquals(1, hedge.attempt());
--- a/src/test/java/loadbalancer/downstream/DownstreamFixture.java
+++ b/src/test/java/loadbalancer/downstream/DownstreamFixture.java
@@ -62,7 +62,7 @@
   static void awaitInputRead(ProxyFixture proxy) throws IOException {
     for (int i = 0; i < 2; i++) {
       try (Client other = proxy.client()) {
-        other.ask(HEALTH_CHECK);
+        other.exchange(HEALTH_CHECK);
       }
     }
   }
--- a/src/test/java/loadbalancer/downstream/MisbehavingClientTest.java
+++ b/src/test/java/loadbalancer/downstream/MisbehavingClientTest.java
@@ -59,7 +59,7 @@
           response);
       assertNull(client.readResponse());
       try (Client wellBehaved = proxy.client()) {
-        assertTrue(wellBehaved.ask(ProxyFixture.get("good", "")).startsWith("HTTP/1.1 200 "));
+        assertTrue(wellBehaved.exchange(ProxyFixture.get("good", "")).startsWith("HTTP/1.1 200 "));
       }
       assertTrue(upstream.requests.take().contains("X-Trace-Id: good\r\n"));
       assertNull(upstream.requests.poll());
@@ -75,11 +75,11 @@
         Client second = proxy.client()) {
       String overlong = "x".repeat(10_000);
       assertTrue(
-          first.ask("GET /api?" + overlong + " HTTP/1.1\r\n\r\n").startsWith("HTTP/1.1 414 "));
+          first.exchange("GET /api?" + overlong + " HTTP/1.1\r\n\r\n").startsWith("HTTP/1.1 414 "));
       assertNull(first.readResponse());
       assertTrue(
           second
-              .ask(ProxyFixture.get("t", "X-Long: " + overlong + "\r\n"))
+              .exchange(ProxyFixture.get("t", "X-Long: " + overlong + "\r\n"))
               .startsWith("HTTP/1.1 431 "));
       assertNull(second.readResponse());
     }
@@ -117,7 +117,7 @@
       client.write(requests.toString());
       for (int i = 0; i < 200; i++) {
         // For each response the proxy polls all sockets, and reads on beyond the limit.
-        other.ask(DownstreamFixture.HEALTH_CHECK);
+        other.exchange(DownstreamFixture.HEALTH_CHECK);
       }
       signal.countDown();
       List<String> responses = new ArrayList<>();
@@ -143,10 +143,11 @@
         Client imitator = proxy.client()) {
       client.write(ProxyFixture.get("t", ""));
       assertNotNull(upstream.requests.poll(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS));
-      assertTrue(imitator.ask(ProxyFixture.get("t", "")).startsWith("HTTP/1.1 409 "));
+      assertTrue(imitator.exchange(ProxyFixture.get("t", "")).startsWith("HTTP/1.1 409 "));
       signal.countDown();
       assertTrue(client.readResponse().startsWith("HTTP/1.1 200 "));
-      assertTrue(imitator.ask(ProxyFixture.get("t", "")).startsWith("HTTP/1.1 200 "), "free again");
+      assertTrue(
+          imitator.exchange(ProxyFixture.get("t", "")).startsWith("HTTP/1.1 200 "), "free again");
       assertEquals(2, upstream.requests.size() + 1);
     }
   }
@@ -160,9 +161,9 @@
     try (ProxyFixture proxy = new ProxyFixture(BalancerConfig.parse(withTenants, Map.of()));
         Client client = proxy.client()) {
       String unknownTenant = ProxyFixture.get("t", "X-Customer: nobody\r\n");
-      assertTrue(client.ask(unknownTenant).startsWith("HTTP/1.1 400 "));
+      assertTrue(client.exchange(unknownTenant).startsWith("HTTP/1.1 400 "));
       String overlongTraceId = ProxyFixture.get("t".repeat(1000), "X-Customer: acme\r\n");
-      assertTrue(client.ask(overlongTraceId).startsWith("HTTP/1.1 400 "));
+      assertTrue(client.exchange(overlongTraceId).startsWith("HTTP/1.1 400 "));
     }
   }
 
@@ -196,7 +197,7 @@
         ProxyFixture proxy = new ProxyFixture(configWithSockets(upstream, 72));
         Client served = proxy.client();
         Client idle = proxy.client()) {
-      assertTrue(idle.ask(DownstreamFixture.HEALTH_CHECK).startsWith("HTTP/1.1 200 "));
+      assertTrue(idle.exchange(DownstreamFixture.HEALTH_CHECK).startsWith("HTTP/1.1 200 "));
       served.write(ProxyFixture.get("t", ""));
       assertNotNull(upstream.requests.poll(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS));
       for (int i = 0; i < 60; i++) {
@@ -204,7 +205,7 @@
       }
       assertNull(silent.get(0).readResponse(), "closed");
       assertTrue(
-          idle.ask(DownstreamFixture.HEALTH_CHECK).startsWith("HTTP/1.1 200 "),
+          idle.exchange(DownstreamFixture.HEALTH_CHECK).startsWith("HTTP/1.1 200 "),
           "one that has sent a request stays");
       signal.countDown();
       assertTrue(served.readResponse().startsWith("HTTP/1.1 200 "));
@@ -229,7 +230,7 @@
       String part = request.substring(0, 40_000);
       first.write(part);
       try (Client other = proxy.client()) {
-        other.ask(DownstreamFixture.HEALTH_CHECK);
+        other.exchange(DownstreamFixture.HEALTH_CHECK);
       }
       late.write(part);
       assertTrue(late.readResponse().startsWith("HTTP/1.1 413 "));
--- a/src/test/java/loadbalancer/proxy/AgentWatchTest.java
+++ b/src/test/java/loadbalancer/proxy/AgentWatchTest.java
@@ -161,7 +161,7 @@
   /** Asks with many keys, of which some would go to the endpoint that has left. */
   private static void assertServedByTheStayingEndpoint(Client client) throws IOException {
     for (int i = 0; i < 40; i++) {
-      String response = client.ask(ProxyFixture.get("u" + i, "Cookie: sid=" + i + "\r\n"));
+      String response = client.exchange(ProxyFixture.get("u" + i, "Cookie: sid=" + i + "\r\n"));
       assertTrue(response.endsWith("\r\n\r\nstaying"), response);
     }
   }
@@ -197,7 +197,7 @@
         assertEquals(UpdateKind.CACHED, told.take().kind());
         assertEquals(UpdateKind.FULL, told.take().kind());
         for (int i = 0; leaving.requests.isEmpty() || staying.requests.isEmpty(); i++) {
-          client.ask(ProxyFixture.get("t" + i, "Cookie: sid=" + i + "\r\n"));
+          client.exchange(ProxyFixture.get("t" + i, "Cookie: sid=" + i + "\r\n"));
         }
         left.countDown();
         assertEquals(
--- a/src/test/java/loadbalancer/proxy/AttemptEndOrderTest.java
+++ b/src/test/java/loadbalancer/proxy/AttemptEndOrderTest.java
@@ -192,7 +192,7 @@
       addCues(ends, upstream, second);
       client.write(ProxyFixture.get("t", ""));
       upstream.awaitRequest();
-      cue.ask(ProxyFixture.get("cue-1", EventLoopSteps.TRIGGER_HEADER));
+      cue.exchange(ProxyFixture.get("cue-1", EventLoopSteps.TRIGGER_HEADER));
       AttemptEnded first = engine.awaitEvent(AttemptEnded.class);
       assertEquals(ends.status, first.status());
       String response = client.readResponse();
@@ -227,7 +227,7 @@
         ProxyFixture proxy =
             new ProxyFixture(ProxyFixture.config(NOWHERE, known(upstream)), engine);
         Client client = proxy.client()) {
-      String response = client.ask(ProxyFixture.post("t", "Idempotency-Key: k\r\n", body));
+      String response = client.exchange(ProxyFixture.post("t", "Idempotency-Key: k\r\n", body));
       assertTrue(response.startsWith("HTTP/1.1 502 "));
       assertEquals(AttemptStatus.RESET, engine.awaitEvent(AttemptEnded.class).status());
       assertEquals(1, upstream.connections.size(), "not sent again");
@@ -299,13 +299,13 @@
         ProxyFixture proxy =
             new ProxyFixture(ProxyFixture.config(discovery.address(), known(upstream)), engine);
         Client client = proxy.client()) {
-      assertTrue(client.ask(ProxyFixture.get("t1", "")).endsWith("\r\n\r\nbefore"));
+      assertTrue(client.exchange(ProxyFixture.get("t1", "")).endsWith("\r\n\r\nbefore"));
       EventLoopSteps.sleep(50); // The connection has rested long enough to be used again.
       restarted.countDown();
       for (UpdateKind kind : List.of(UpdateKind.CACHED, UpdateKind.DELTA, UpdateKind.DELTA)) {
         assertEquals(kind, engine.awaitEvent(EndpointListUpdate.class).kind());
       }
-      assertTrue(client.ask(ProxyFixture.get("t2", "")).endsWith("\r\n\r\nnext"));
+      assertTrue(client.exchange(ProxyFixture.get("t2", "")).endsWith("\r\n\r\nnext"));
     }
   }
 }
--- a/src/test/java/loadbalancer/proxy/BrokenConnectionTest.java
+++ b/src/test/java/loadbalancer/proxy/BrokenConnectionTest.java
@@ -74,7 +74,7 @@
       written.await();
       for (int i = 0; i < 2; i++) {
         try (Client other = proxy.client()) {
-          other.ask(
+          other.exchange(
               "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"); // It has looked at all sockets, and read
           // what was written.
         }
@@ -111,12 +111,12 @@
                 });
         ProxyFixture proxy = new ProxyFixture(one(upstream), engine);
         Client client = proxy.client()) {
-      assertTrue(client.ask(ProxyFixture.get("t1", "")).startsWith("HTTP/1.1 200 "));
+      assertTrue(client.exchange(ProxyFixture.get("t1", "")).startsWith("HTTP/1.1 200 "));
       Thread.sleep(50); // It has rested for long enough to be used again.
       FakeServer.Connection resting = upstream.connections.take();
       cue.countDown();
       assertTrue(resting.awaitScriptEnd());
-      assertTrue(client.ask(ProxyFixture.get("t2", "")).startsWith("HTTP/1.1 200 "));
+      assertTrue(client.exchange(ProxyFixture.get("t2", "")).startsWith("HTTP/1.1 200 "));
       for (int i = 0; i < 2; i++) {
         assertEquals(AttemptStatus.SUCCESS, engine.awaitEvent(AttemptEnded.class).status());
       }
--- a/src/test/java/loadbalancer/proxy/ClientFloodTest.java
+++ b/src/test/java/loadbalancer/proxy/ClientFloodTest.java
@@ -114,13 +114,13 @@
           flooding,
           many(form.replace("~", "\r\n")) + HEALTH.replace("\r\n\r\n", "\r\n" + END + "\r\n"));
       for (int i = 0; i < 20; i++) {
-        assertTrue(good.ask(ProxyFixture.get("good" + i, "")).startsWith("HTTP/1.1 200 "));
+        assertTrue(good.exchange(ProxyFixture.get("good" + i, "")).startsWith("HTTP/1.1 200 "));
       }
       done.countDown();
       for (String answer : answers(flooding)) {
         assertTrue(answer.startsWith("HTTP/1.1 200 ") || answer.startsWith("HTTP/1.1 4"), answer);
       }
-      assertTrue(good.ask(ProxyFixture.get("good", "")).startsWith("HTTP/1.1 200 "));
+      assertTrue(good.exchange(ProxyFixture.get("good", "")).startsWith("HTTP/1.1 200 "));
     }
   }
 
@@ -159,9 +159,9 @@
       }
       done.countDown();
       while (proxy.server.listener().connectionCount() > 1) {
-        assertTrue(good.ask(HEALTH).startsWith("HTTP/1.1 200 "));
+        assertTrue(good.exchange(HEALTH).startsWith("HTTP/1.1 200 "));
       }
-      assertTrue(good.ask(ProxyFixture.get("good", "")).startsWith("HTTP/1.1 200 "));
+      assertTrue(good.exchange(ProxyFixture.get("good", "")).startsWith("HTTP/1.1 200 "));
     }
   }
 
@@ -194,7 +194,7 @@
       }
       client.write(much.toString()); // It is read, whether or not it is held.
       for (int i = 0; i < 20; i++) {
-        other.ask(
+        other.exchange(
             HEALTH); // Each answer takes a look at all sockets: all that was sent has been read.
       }
       done.countDown();
@@ -203,7 +203,7 @@
       assertTrue(served < sent, "of 140 KB in heads, with room for 64, all were held: " + served);
       assertTrue(answers.get(0).startsWith("HTTP/1.1 200 "));
       assertTrue(
-          other.ask(ProxyFixture.get("good", "")).startsWith("HTTP/1.1 200 "),
+          other.exchange(ProxyFixture.get("good", "")).startsWith("HTTP/1.1 200 "),
           "and there is room again");
     }
   }
--- a/src/test/java/loadbalancer/proxy/ConnectionCloseTest.java
+++ b/src/test/java/loadbalancer/proxy/ConnectionCloseTest.java
@@ -84,7 +84,7 @@
       started.set(proxy);
       asking.set(client);
       String answer =
-          client.ask(ProxyFixture.get("t", askedByTheClient ? "Connection: close\r\n" : ""));
+          client.exchange(ProxyFixture.get("t", askedByTheClient ? "Connection: close\r\n" : ""));
       assertTrue(
           answer.startsWith("HTTP/1.1 429 ") && answer.contains("connection: close\r\n"), answer);
       assertNull(client.readResponse(), "the end of the stream");
@@ -116,7 +116,7 @@
         Client client = proxy.client()) {
       started.set(proxy);
       asking.set(client);
-      String first = client.ask(ProxyFixture.get("t", ""));
+      String first = client.exchange(ProxyFixture.get("t", ""));
       assertTrue(first.startsWith("HTTP/1.1 429 "), first);
       assertFalse(first.contains("connection: close\r\n"), first);
       String second = client.readResponse();
@@ -183,7 +183,7 @@
         engine.awaitEvent(AttemptEnded.class);
         for (int i = 0; i < 2; i++) {
           try (Client other = proxy.client()) {
-            other.ask(HEALTH); // Some turns later: a close in an earlier turn is complete.
+            other.exchange(HEALTH); // Some turns later: a close in an earlier turn is complete.
           }
         }
         InputStream in = new BufferedInputStream(client.getInputStream());
@@ -276,13 +276,13 @@
                 engine);
         Client client = proxy.client();
         Client other = proxy.client()) {
-      assertTrue(client.ask(ProxyFixture.get("t1", "")).endsWith("\r\n\r\nfirst"));
+      assertTrue(client.exchange(ProxyFixture.get("t1", "")).endsWith("\r\n\r\nfirst"));
       upstream.connections.take();
       engine.awaitEvent(AttemptEnded.class);
       client.write(ProxyFixture.get("t2", "X-Customer: held\r\n"));
       engine.awaitEvent(RequestArrived.class);
       Thread.sleep(50); // The connection has rested for long enough to be used again.
-      assertTrue(other.ask(ProxyFixture.get("cue", CUE)).startsWith("HTTP/1.1 429 "));
+      assertTrue(other.exchange(ProxyFixture.get("cue", CUE)).startsWith("HTTP/1.1 429 "));
       assertEquals(AttemptStatus.SUCCESS, engine.awaitEvent(AttemptEnded.class).status());
       assertTrue(client.readResponse().endsWith("\r\n\r\nsecond"), "its own answer");
       assertEquals(1, upstream.connections.size(), "on another connection");
@@ -328,17 +328,17 @@
     try (ProxyFixture proxy = new ProxyFixture(config, engine);
         Client crossing = proxy.client()) {
       if (askedBefore) {
-        assertNotNull(crossing.ask(HEALTH));
+        assertNotNull(crossing.exchange(HEALTH));
       }
       try (Client cue = proxy.client();
           Client resting = proxy.client()) {
-        assertNotNull(cue.ask(HEALTH));
+        assertNotNull(cue.exchange(HEALTH));
         if (askedBefore) {
-          assertNotNull(resting.ask(HEALTH));
+          assertNotNull(resting.exchange(HEALTH));
         }
         started.set(proxy);
         lying.set(crossing);
-        assertTrue(cue.ask(ProxyFixture.get("cue", CUE)).startsWith("HTTP/1.1 429 "));
+        assertTrue(cue.exchange(ProxyFixture.get("cue", CUE)).startsWith("HTTP/1.1 429 "));
         String answer = crossing.readResponse();
         assertNotNull(answer, "closed over its request");
         assertTrue(answer.startsWith("HTTP/1.1 429 "), answer);
@@ -361,7 +361,7 @@
     try (ProxyFixture proxy =
             new ProxyFixture(ProxyFixture.config(NOWHERE, ProxyFixture.list(1, true)), engine);
         Client resting = proxy.client()) {
-      assertNotNull(resting.ask(HEALTH));
+      assertNotNull(resting.exchange(HEALTH));
       Thread stop = new Thread(proxy.server::shutDownGracefully);
       stop.start();
       proxy.server.awaitShutdownStart();
--- a/src/test/java/loadbalancer/proxy/FragmentedMessageTest.java
+++ b/src/test/java/loadbalancer/proxy/FragmentedMessageTest.java
@@ -38,7 +38,7 @@
   private static void awaitEventLoopTurns(ProxyFixture proxy) throws IOException {
     for (int i = 0; i < 2; i++) {
       try (Client other = proxy.client()) {
-        other.ask("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
+        other.exchange("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
       }
     }
   }
@@ -103,7 +103,7 @@
                 });
         ProxyFixture proxy = new ProxyFixture(one(upstream), engine);
         Client client = proxy.client()) {
-      assertTrue(client.ask(ProxyFixture.get("t", "")).startsWith("HTTP/1.1 502 "));
+      assertTrue(client.exchange(ProxyFixture.get("t", "")).startsWith("HTTP/1.1 502 "));
       assertEquals(AttemptStatus.RESET, engine.awaitEvent(AttemptEnded.class).status());
     }
   }
@@ -123,7 +123,7 @@
                 });
         ProxyFixture proxy = new ProxyFixture(one(upstream), engine);
         Client client = proxy.client()) {
-      assertTrue(client.ask(ProxyFixture.get("t", "")).endsWith("\r\n\r\nok"));
+      assertTrue(client.exchange(ProxyFixture.get("t", "")).endsWith("\r\n\r\nok"));
       assertEquals(AttemptStatus.SUCCESS, engine.awaitEvent(AttemptEnded.class).status());
     }
   }
@@ -150,7 +150,7 @@
                 });
         ProxyFixture proxy = new ProxyFixture(one(upstream), engine);
         Client client = proxy.client()) {
-      String got = client.ask(ProxyFixture.get("t", ""));
+      String got = client.exchange(ProxyFixture.get("t", ""));
       assertTrue(got.startsWith("HTTP/1.1 200 ") && got.endsWith("\r\n\r\nok"), got);
     }
   }
--- a/src/test/java/loadbalancer/proxy/GracefulShutdownTest.java
+++ b/src/test/java/loadbalancer/proxy/GracefulShutdownTest.java
@@ -99,8 +99,8 @@
         Client other = proxy.client()) {
       started.set(proxy);
       idle.set(client);
-      assertNotNull(client.ask(HEALTH), "open, and then idle");
-      assertTrue(other.ask(ProxyFixture.get("cue", CUE)).startsWith("HTTP/1.1 429 "));
+      assertNotNull(client.exchange(HEALTH), "open, and then idle");
+      assertTrue(other.exchange(ProxyFixture.get("cue", CUE)).startsWith("HTTP/1.1 429 "));
       String response = client.readResponse();
       assertNotNull(response, "closed over the request");
       assertTrue(
@@ -166,7 +166,7 @@
         Client other = proxy.client()) {
       started.set(proxy);
       open.set(client);
-      assertTrue(other.ask(ProxyFixture.get("cue", CUE)).startsWith("HTTP/1.1 429 "));
+      assertTrue(other.exchange(ProxyFixture.get("cue", CUE)).startsWith("HTTP/1.1 429 "));
       try (Client found = crossed.get(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
         String response = found.readResponse();
         assertNotNull(response, "closed over the request");
@@ -198,7 +198,7 @@
         Client busy = proxy.client();
         Client waiting = proxy.client();
         Client late = proxy.client()) {
-      assertNotNull(late.ask(HEALTH));
+      assertNotNull(late.exchange(HEALTH));
       long from = System.nanoTime();
       Thread shutdown = startShutdown(proxy);
       Thread.sleep(GracefulShutdown.expiryMillis(config.settings()) - 60);
@@ -234,7 +234,7 @@
       Thread shutdown = startShutdown(proxy);
       Thread.sleep(400); // The time itself is what is tested.
       try (Client late = proxy.client()) {
-        assertTrue(late.ask(ProxyFixture.get("t", "")).startsWith("HTTP/1.1 429 "));
+        assertTrue(late.exchange(ProxyFixture.get("t", "")).startsWith("HTTP/1.1 429 "));
       }
       awaitEnd(shutdown);
     }
@@ -250,11 +250,11 @@
                     ProxyFixture.list(
                         1, true, ProxyFixture.member("s-1", upstream.address(), "ready"))));
         Client old = proxy.client()) {
-      assertTrue(old.ask(ProxyFixture.get("t1", "")).startsWith("HTTP/1.1 200 "));
+      assertTrue(old.exchange(ProxyFixture.get("t1", "")).startsWith("HTTP/1.1 200 "));
       Thread shutdown = startShutdown(proxy);
       try (Client late = proxy.client()) {
-        assertTrue(late.ask(HEALTH).startsWith("HTTP/1.1 503 "), "sends clients elsewhere");
-        assertTrue(late.ask(ProxyFixture.get("t2", "")).startsWith("HTTP/1.1 200 "));
+        assertTrue(late.exchange(HEALTH).startsWith("HTTP/1.1 503 "), "sends clients elsewhere");
+        assertTrue(late.exchange(ProxyFixture.get("t2", "")).startsWith("HTTP/1.1 200 "));
         assertNull(late.readResponse(), "and the connection ends");
       }
       assertNull(old.readResponse(), "as does one from before");
@@ -276,7 +276,7 @@
       client.write(ProxyFixture.get("t1", "") + ProxyFixture.get("t2", ""));
       assertEquals("r0", engine.awaitEvent(RequestArrived.class).requestId());
       Thread shutdown = startShutdown(proxy);
-      assertNotNull(slow.ask(HEALTH));
+      assertNotNull(slow.exchange(HEALTH));
       // Begun before idle connections are closed, and late enough not to time out by itself.
       Thread.sleep(1700);
       slow.write("POST /api HT");
--- a/src/test/java/loadbalancer/proxy/ProxyTest.java
+++ b/src/test/java/loadbalancer/proxy/ProxyTest.java
@@ -36,7 +36,7 @@
         ProxyFixture proxy = new ProxyFixture(only(upstream));
         Client client = proxy.client()) {
       String response =
-          client.ask(
+          client.exchange(
               ProxyFixture.get(
                   "t1", "X-Expires-In-Ms: 30000\r\nConnection: keep-alive, X-Hop\r\nX-Hop: 1\r\n"));
       assertTrue(
@@ -49,7 +49,7 @@
           received.matches("(?s).*X-Expires-In-Ms: 29\\d{3}\r\n.*"),
           "says how long it waits: " + received);
       response =
-          client.ask(
+          client.exchange(
               ProxyFixture.post(
                   "t2", "Idempotency-Key: k2\r\nX-Expires-In-Ms: 30000\r\n", "a body"));
       assertTrue(response.startsWith("HTTP/1.1 200 OK\r\n"), response);
@@ -63,7 +63,7 @@
       // there already.
       for (int before = -1; before != upstream.connections.size(); ) {
         before = upstream.connections.size();
-        client.ask(ProxyFixture.get("again" + before, ""));
+        client.exchange(ProxyFixture.get("again" + before, ""));
       }
     }
   }
@@ -88,11 +88,11 @@
     try (FakeServer upstream = FakeServer.respondingWith(FakeServer.ok("x"));
         ProxyFixture proxy = new ProxyFixture(only(upstream))) {
       try (Client client = proxy.client()) {
-        String response = client.ask(request.trim().replace("~", "\r\n"));
+        String response = client.exchange(request.trim().replace("~", "\r\n"));
         assertTrue(response.startsWith("HTTP/1.1 " + status + " "), response);
       }
       try (Client client = proxy.client()) {
-        String response = client.ask(ProxyFixture.get("good", ""));
+        String response = client.exchange(ProxyFixture.get("good", ""));
         assertTrue(response.startsWith("HTTP/1.1 200 "), "still serves");
       }
       assertTrue(upstream.requests.take().contains("X-Trace-Id: good\r\n"));
@@ -106,7 +106,7 @@
     try (FakeServer upstream = FakeServer.respondingWith(FakeServer.ok(body));
         ProxyFixture proxy = new ProxyFixture(only(upstream));
         Client client = proxy.client()) {
-      String response = client.ask(ProxyFixture.post("t", "Idempotency-Key: k\r\n", body));
+      String response = client.exchange(ProxyFixture.post("t", "Idempotency-Key: k\r\n", body));
       assertTrue(response.startsWith("HTTP/1.1 200 ") && response.endsWith("\r\n\r\n" + body));
       assertTrue(upstream.requests.take().endsWith("\r\n\r\n" + body));
     }
@@ -117,12 +117,12 @@
     try (FakeServer upstream = FakeServer.respondingWith(FakeServer.ok("x"));
         ProxyFixture proxy = new ProxyFixture(only(upstream));
         Client client = proxy.client()) {
-      assertTrue(client.ask(HEALTH).startsWith("HTTP/1.1 200 "));
+      assertTrue(client.exchange(HEALTH).startsWith("HTTP/1.1 200 "));
     }
     BalancerConfig noEndpoints = ProxyFixture.config(NOWHERE, ProxyFixture.list(1, true));
     try (ProxyFixture proxy = new ProxyFixture(noEndpoints);
         Client client = proxy.client()) {
-      assertTrue(client.ask(HEALTH).startsWith("HTTP/1.1 503 "), "no endpoint is known");
+      assertTrue(client.exchange(HEALTH).startsWith("HTTP/1.1 503 "), "no endpoint is known");
     }
   }
 
@@ -138,7 +138,7 @@
     BalancerConfig config = ProxyFixture.config(NOWHERE, ProxyFixture.list(1, true));
     try (ProxyFixture proxy = new ProxyFixture(config, engine);
         Client client = proxy.client()) {
-      String response = client.ask(ProxyFixture.get("t", ""));
+      String response = client.exchange(ProxyFixture.get("t", ""));
       assertTrue(
           response.startsWith("HTTP/1.1 429 ") && response.contains("retry-after: 0.251\r\n"),
           response);
--- a/src/test/java/loadbalancer/proxy/ReloadOrderTest.java
+++ b/src/test/java/loadbalancer/proxy/ReloadOrderTest.java
@@ -86,12 +86,12 @@
               EventLoopSteps.sleep(100);
             }
           });
-      String cueResponse = cue.ask(ProxyFixture.get("cue", EventLoopSteps.TRIGGER_HEADER));
+      String cueResponse = cue.exchange(ProxyFixture.get("cue", EventLoopSteps.TRIGGER_HEADER));
       assertTrue(cueResponse.startsWith("HTTP/1.1 429 "));
       assertNotNull(
           fresh.connections.poll(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS),
           "discovery is followed");
-      String health = other.ask("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
+      String health = other.exchange("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
       assertTrue(health.startsWith("HTTP/1.1 503 "), "it shuts down");
       shutdown.join(TimeUnit.SECONDS.toMillis(ProxyFixture.TIMEOUT_SECONDS));
       assertTrue(!shutdown.isAlive(), "ends");
@@ -155,7 +155,7 @@
       if (closedFirst) {
         cues.add(actions -> reload(proxy, fresh));
       }
-      cue.ask(ProxyFixture.get("cue-1", EventLoopSteps.TRIGGER_HEADER));
+      cue.exchange(ProxyFixture.get("cue-1", EventLoopSteps.TRIGGER_HEADER));
       EndpointListUpdate update = engine.awaitEvent(EndpointListUpdate.class);
       assertEquals(2, update.endpoints().size(), "by the new discovery's list");
       EventLoopSteps.sleep(1000); // Longer than the wait before the agent is called again.
--- a/src/test/java/loadbalancer/proxy/ReloadTest.java
+++ b/src/test/java/loadbalancer/proxy/ReloadTest.java
@@ -103,7 +103,7 @@
             throw new MalformedInputException("on purpose: this line belongs to a test");
           });
       try (Client client = proxy.client()) {
-        String health = client.ask("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
+        String health = client.exchange("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
         assertTrue(health.startsWith("HTTP/1.1 200 "));
       }
       assertEquals(1, discovery.connections.size(), "the watch still stands");
--- a/src/test/java/loadbalancer/proxy/RequestDispatcherTest.java
+++ b/src/test/java/loadbalancer/proxy/RequestDispatcherTest.java
@@ -53,7 +53,7 @@
     try (ProxyFixture proxy = new ProxyFixture(noEndpoints(), engine);
         Client client = proxy.client()) {
       String response =
-          client.ask(
+          client.exchange(
               ProxyFixture.get(
                   "t",
                   "X-Customer: acme\r\nCookie: a=b; sid=7f3a\r\nX-Size-Hint: 1500\r\n"
@@ -79,7 +79,7 @@
     ScriptedEngine engine = new ScriptedEngine((event, actions) -> {});
     try (ProxyFixture proxy = new ProxyFixture(noEndpoints(), engine);
         Client client = proxy.client()) {
-      String response = client.ask(ProxyFixture.get("t", "X-Expires-In-Ms: 300\r\n"));
+      String response = client.exchange(ProxyFixture.get("t", "X-Expires-In-Ms: 300\r\n"));
       assertTrue(response.startsWith("HTTP/1.1 504 "));
       assertEquals(
           engine.awaitEvent(RequestArrived.class).requestId(),
@@ -105,10 +105,11 @@
         Client bad = proxy.client()) {
       held.write(ProxyFixture.get("held", ""));
       engine.awaitEvent(RequestArrived.class);
-      assertTrue(bad.ask(ProxyFixture.get("t", "X-Customer: bad\r\n")).startsWith("HTTP/1.1 500 "));
+      assertTrue(
+          bad.exchange(ProxyFixture.get("t", "X-Customer: bad\r\n")).startsWith("HTTP/1.1 500 "));
       assertTrue(held.readResponse().startsWith("HTTP/1.1 500 "));
       assertTrue(
-          bad.ask(ProxyFixture.get("t2", "X-Customer: good\r\n")).startsWith("HTTP/1.1 429 "));
+          bad.exchange(ProxyFixture.get("t2", "X-Customer: good\r\n")).startsWith("HTTP/1.1 429 "));
     }
   }
 
@@ -188,7 +189,7 @@
                 engine);
         Client client = proxy.client();
         Client other = proxy.client()) {
-      String health = client.ask("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
+      String health = client.exchange("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
       assertTrue(health.startsWith("HTTP/1.1 200 "));
       other.write(ProxyFixture.get("holds", "X-Size-Hint: 7\r\n"));
       held.await();
--- a/src/test/java/loadbalancer/proxy/StartupTest.java
+++ b/src/test/java/loadbalancer/proxy/StartupTest.java
@@ -142,7 +142,7 @@
       ProxyServer server = ProxyServer.prepare(pushed(discovery), generation -> engine, 100);
       server.listen();
       try (Client client = new Client(server)) {
-        String health = client.ask("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
+        String health = client.exchange("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
         assertTrue(health.startsWith("HTTP/1.1 200 "));
       } finally {
         server.shutDownNow();
--- a/src/test/java/loadbalancer/testing/ProxyFixture.java
+++ b/src/test/java/loadbalancer/testing/ProxyFixture.java
@@ -134,7 +134,7 @@
     }
 
     /** Sends a request and waits for the response. */
-    public String ask(String text) throws IOException {
+    public String exchange(String text) throws IOException {
       return write(text).readResponse();
     }
 
--- a/src/test/java/loadbalancer/upstream/AttemptLimitTest.java
+++ b/src/test/java/loadbalancer/upstream/AttemptLimitTest.java
@@ -44,7 +44,7 @@
             FakeServer.respondingWith("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n");
         ProxyFixture proxy = new ProxyFixture(SingleEndpoint.config(upstream.address()), engine);
         Client client = proxy.client()) {
-      client.ask(ProxyFixture.get("t", ""));
+      client.exchange(ProxyFixture.get("t", ""));
       for (int i = 0; i < 6; i++) {
         assertEquals(AttemptStatus.ERROR, engine.awaitEvent(AttemptEnded.class).status());
       }
@@ -79,7 +79,7 @@
         Client second = proxy.client();
         Client third = proxy.client()) {
       // Three connections of clients, three to upstreams.
-      first.ask(ProxyFixture.get("t1", ""));
+      first.exchange(ProxyFixture.get("t1", ""));
       assertEquals(AttemptStatus.SUCCESS, engine.awaitEvent(AttemptEnded.class).status());
       List<Client> clients = List.of(second, third, first);
       for (int i = 0; i < 3; i++) {
@@ -89,7 +89,7 @@
             "the idle connection was closed for the third");
       }
       try (Client last = proxy.client()) {
-        last.ask(ProxyFixture.get("t4", "X-Customer: true\r\n"));
+        last.exchange(ProxyFixture.get("t4", "X-Customer: true\r\n"));
       }
       assertEquals(
           AttemptStatus.NOT_SENT,
--- a/src/test/java/loadbalancer/upstream/AttemptTimeoutTest.java
+++ b/src/test/java/loadbalancer/upstream/AttemptTimeoutTest.java
@@ -29,7 +29,7 @@
                     SingleEndpoint.NO_DISCOVERY, upstream.address()),
                 engine);
         Client client = proxy.client()) {
-      client.ask(ProxyFixture.get("t", ""));
+      client.exchange(ProxyFixture.get("t", ""));
       assertEquals(
           AttemptStatus.CONNECT_FAILED,
           engine.awaitEvent(AttemptEnded.class).status(),
@@ -53,12 +53,12 @@
                 });
         ProxyFixture proxy = new ProxyFixture(SingleEndpoint.config(upstream.address()), engine);
         Client client = proxy.client()) {
-      assertTrue(client.ask(ProxyFixture.get("slow", "")).startsWith("HTTP/1.1 502 "));
+      assertTrue(client.exchange(ProxyFixture.get("slow", "")).startsWith("HTTP/1.1 502 "));
       assertEquals(AttemptStatus.TIMEOUT, engine.awaitEvent(AttemptEnded.class).status());
       FakeServer.Connection slow = upstream.connections.take();
       assertTrue(slow.awaitClose(), "closed before anything was sent on it");
       late.countDown();
-      assertTrue(client.ask(ProxyFixture.get("next", "")).endsWith("\r\n\r\nfresh"));
+      assertTrue(client.exchange(ProxyFixture.get("next", "")).endsWith("\r\n\r\nfresh"));
       assertEquals(1, upstream.connections.size(), "on a new connection");
       assertEquals(AttemptStatus.SUCCESS, engine.awaitEvent(AttemptEnded.class).status());
     }
--- a/src/test/java/loadbalancer/upstream/ConnectFailureTest.java
+++ b/src/test/java/loadbalancer/upstream/ConnectFailureTest.java
@@ -27,7 +27,7 @@
     ScriptedEngine engine = new ScriptedEngine(SingleEndpoint.LONG_TIMEOUT_NANOS);
     try (ProxyFixture proxy = new ProxyFixture(SingleEndpoint.config(closed), engine);
         Client client = proxy.client()) {
-      client.ask(ProxyFixture.get("t", ""));
+      client.exchange(ProxyFixture.get("t", ""));
       assertEquals(AttemptStatus.CONNECT_FAILED, engine.awaitEvent(AttemptEnded.class).status());
     }
   }
@@ -38,7 +38,7 @@
     try (UnresponsiveUpstream upstream = new UnresponsiveUpstream();
         ProxyFixture proxy = new ProxyFixture(SingleEndpoint.config(upstream.address()), engine);
         Client client = proxy.client()) {
-      client.ask(ProxyFixture.get("t", ""));
+      client.exchange(ProxyFixture.get("t", ""));
       assertEquals(AttemptStatus.CONNECT_FAILED, engine.awaitEvent(AttemptEnded.class).status());
     }
   }
--- a/src/test/java/loadbalancer/upstream/ConnectionReuseTest.java
+++ b/src/test/java/loadbalancer/upstream/ConnectionReuseTest.java
@@ -32,9 +32,9 @@
                 });
         ProxyFixture proxy = new ProxyFixture(SingleEndpoint.config(upstream.address()), engine);
         Client client = proxy.client()) {
-      client.ask(ProxyFixture.get("t1", ""));
+      client.exchange(ProxyFixture.get("t1", ""));
       assertTrue(upstream.connections.take().awaitClose());
-      client.ask(ProxyFixture.get("t2", ""));
+      client.exchange(ProxyFixture.get("t2", ""));
       assertEquals(AttemptStatus.SUCCESS, engine.awaitEvent(AttemptEnded.class).status());
       assertEquals(AttemptStatus.SUCCESS, engine.awaitEvent(AttemptEnded.class).status());
     }
@@ -45,7 +45,7 @@
     try (FakeServer upstream = FakeServer.respondingWith(FakeServer.ok("x"));
         ProxyFixture proxy = new ProxyFixture(SingleEndpoint.config(upstream.address()), engine);
         Client client = proxy.client()) {
-      client.ask(ProxyFixture.get("t1", ""));
+      client.exchange(ProxyFixture.get("t1", ""));
       FakeServer.Connection connection = upstream.connections.take();
       upstream.requests.take();
       assertNull(upstream.requests.poll(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.MILLISECONDS));
@@ -65,7 +65,7 @@
       try (ProxyFixture proxy = new ProxyFixture(config, engine);
           Client client = proxy.client()) {
         for (int i = 0; i < 10; i++) {
-          String response = client.ask(ProxyFixture.get("t" + i, ""));
+          String response = client.exchange(ProxyFixture.get("t" + i, ""));
           assertTrue(response.startsWith("HTTP/1.1 200 "));
           Thread.sleep(45); // The time itself is what is tested; about every fifth meets a sweep.
         }
@@ -89,7 +89,7 @@
         ProxyFixture proxy = new ProxyFixture(SingleEndpoint.config(upstream.address()), engine);
         Client client = proxy.client()) {
       for (int i = 0; i < requests; i++) {
-        String response = client.ask(ProxyFixture.get("t" + i, ""));
+        String response = client.exchange(ProxyFixture.get("t" + i, ""));
         broken += response.startsWith("HTTP/1.1 200 ") ? 0 : 1;
       }
     }
--- a/src/test/java/loadbalancer/upstream/HealthCheckTest.java
+++ b/src/test/java/loadbalancer/upstream/HealthCheckTest.java
@@ -37,14 +37,14 @@
     try (FakeServer upstream = FakeServer.respondingWith(FakeServer.ok("x"));
         ProxyFixture proxy = new ProxyFixture(SingleEndpoint.config(upstream.address()), engine);
         Client client = proxy.client()) {
-      client.ask(ProxyFixture.get("t", ""));
+      client.exchange(ProxyFixture.get("t", ""));
       assertEquals(AttemptStatus.SUCCESS, engine.awaitEvent(HealthCheckResult.class).status());
       String healthCheck = upstream.requests.take();
       assertTrue(
           healthCheck.startsWith("GET /healthz HTTP/1.1\r\n")
               && !healthCheck.contains("X-Trace-Id"),
           healthCheck);
-      client.ask(ProxyFixture.get("t2", ""));
+      client.exchange(ProxyFixture.get("t2", ""));
       assertTrue(upstream.connections.take().awaitScriptEnd(), "closed by the second action");
     }
   }
--- a/src/test/java/loadbalancer/upstream/ResponseParsingTest.java
+++ b/src/test/java/loadbalancer/upstream/ResponseParsingTest.java
@@ -55,7 +55,7 @@
                 });
         ProxyFixture proxy = new ProxyFixture(SingleEndpoint.config(upstream.address()), engine);
         Client client = proxy.client()) {
-      String received = client.ask(ProxyFixture.get("t", ""));
+      String received = client.exchange(ProxyFixture.get("t", ""));
       AttemptEnded ended = engine.awaitEvent(AttemptEnded.class);
       assertEquals(status, ended.status());
       assertEquals(status == AttemptStatus.SUCCESS, ended.isRequestAnswered());
@@ -89,7 +89,7 @@
                 });
         ProxyFixture proxy = new ProxyFixture(SingleEndpoint.config(upstream.address()), engine);
         Client client = proxy.client()) {
-      assertTrue(client.ask(ProxyFixture.get("t", "")).startsWith("HTTP/1.1 502 "));
+      assertTrue(client.exchange(ProxyFixture.get("t", "")).startsWith("HTTP/1.1 502 "));
       assertEquals(AttemptStatus.RESET, engine.awaitEvent(AttemptEnded.class).status());
       assertTrue(upstream.connections.take().awaitClose(), "its connection is closed");
     }
@@ -101,7 +101,7 @@
     try (FakeServer upstream = FakeServer.respondingWith(response);
         ProxyFixture proxy = new ProxyFixture(SingleEndpoint.config(upstream.address()), engine);
         Client client = proxy.client()) {
-      client.ask(ProxyFixture.get("t", ""));
+      client.exchange(ProxyFixture.get("t", ""));
       assertEquals(AttemptStatus.RESET, engine.awaitEvent(AttemptEnded.class).status());
     }
   }
@@ -114,7 +114,7 @@
     try (FakeServer upstream = FakeServer.respondingWith(response);
         ProxyFixture proxy = new ProxyFixture(SingleEndpoint.config(upstream.address()), engine);
         Client client = proxy.client()) {
-      client.ask(ProxyFixture.get("t", ""));
+      client.exchange(ProxyFixture.get("t", ""));
       assertEquals(
           Map.of("inflight", 7.0, "util", 0.61),
           engine.awaitEvent(AttemptEnded.class).loadReport());
--- a/src/test/java/loadbalancer/upstream/SecondResponseTest.java
+++ b/src/test/java/loadbalancer/upstream/SecondResponseTest.java
@@ -49,9 +49,9 @@
                 });
         ProxyFixture proxy = new ProxyFixture(SingleEndpoint.config(upstream.address()), engine);
         Client client = proxy.client()) {
-      assertTrue(client.ask(ProxyFixture.get("t1", "")).endsWith("\r\n\r\nfirst"));
+      assertTrue(client.exchange(ProxyFixture.get("t1", "")).endsWith("\r\n\r\nfirst"));
       assertTrue(upstream.connections.take().awaitScriptEnd(), "closed by the proxy");
-      assertTrue(client.ask(ProxyFixture.get("t2", "")).endsWith("\r\n\r\nsecond"));
+      assertTrue(client.exchange(ProxyFixture.get("t2", "")).endsWith("\r\n\r\nsecond"));
     }
   }
 
@@ -80,14 +80,14 @@
                 });
         ProxyFixture proxy = new ProxyFixture(SingleEndpoint.config(upstream.address()), engine);
         Client client = proxy.client()) {
-      assertTrue(client.ask(ProxyFixture.get("t1", "")).endsWith("\r\n\r\nfirst"));
+      assertTrue(client.exchange(ProxyFixture.get("t1", "")).endsWith("\r\n\r\nfirst"));
       assertTrue(upstream.connections.take().awaitScriptEnd(), "closed by the proxy");
-      assertTrue(client.ask(ProxyFixture.get("t2", "")).endsWith("\r\n\r\nnext"));
+      assertTrue(client.exchange(ProxyFixture.get("t2", "")).endsWith("\r\n\r\nnext"));
       Thread.sleep(15); // Longer than the initial quiet period, far shorter than the extended one.
-      assertTrue(client.ask(ProxyFixture.get("t3", "")).endsWith("\r\n\r\nnext"));
+      assertTrue(client.exchange(ProxyFixture.get("t3", "")).endsWith("\r\n\r\nnext"));
       assertEquals(3, connections.get(), "still in its quiet period");
       Thread.sleep(4 * delayMillis);
-      assertTrue(client.ask(ProxyFixture.get("t4", "")).endsWith("\r\n\r\nnext"));
+      assertTrue(client.exchange(ProxyFixture.get("t4", "")).endsWith("\r\n\r\nnext"));
       assertEquals(3, connections.get(), "reused after it");
     }
   }
--- a/src/test/java/loadbalancer/upstream/WithdrawnAttemptTest.java
+++ b/src/test/java/loadbalancer/upstream/WithdrawnAttemptTest.java
@@ -187,7 +187,7 @@
       BalancerConfig config = SingleEndpoint.config(discovery.address(), upstream.address());
       try (ProxyFixture proxy = new ProxyFixture(config, engine);
           Client client = proxy.client()) {
-        assertTrue(client.ask(ProxyFixture.get("t", "")).startsWith("HTTP/1.1 502 "));
+        assertTrue(client.exchange(ProxyFixture.get("t", "")).startsWith("HTTP/1.1 502 "));
         assertEquals(AttemptStatus.NOT_SENT, engine.awaitEvent(AttemptEnded.class).status());
         assertNull(upstream.requests.poll());
       }
