--- a/src/test/java/loadbalancer/downstream/MisbehavingClientTest.java
+++ b/src/test/java/loadbalancer/downstream/MisbehavingClientTest.java
@@ -155,7 +155,7 @@
   @Test
   void rejectsAnUnknownTenantAndAnOverlongTraceId() throws Exception {
     String text =
-        ProxyFixture.text(
+        ProxyFixture.configText(
             DownstreamFixture.UNREACHABLE, ProxyFixture.list(1, true), "on_request", 200, 1024, "");
     String withTenants = text.replace("\"settings\":{", "\"settings\":{" + TENANTS);
     try (ProxyFixture proxy = new ProxyFixture(BalancerConfig.parse(withTenants, Map.of()));
@@ -220,7 +220,7 @@
   @Test
   void rejectsABodyOverTheMemoryBudget() throws Exception {
     String text =
-        ProxyFixture.text(
+        ProxyFixture.configText(
             DownstreamFixture.UNREACHABLE, ProxyFixture.list(1, true), "on_request", 200, 1024, "");
     String smallBudget = text.replace("\"memory_mb\":192", "\"memory_mb\":1");
     try (ProxyFixture proxy = new ProxyFixture(BalancerConfig.parse(smallBudget, Map.of()));
--- a/src/test/java/loadbalancer/proxy/AgentWatchTest.java
+++ b/src/test/java/loadbalancer/proxy/AgentWatchTest.java
@@ -39,7 +39,7 @@
 
   private static BalancerConfig pushed(FakeServer discovery, String... members) throws IOException {
     return BalancerConfig.parse(
-        ProxyFixture.text(
+        ProxyFixture.configText(
                 discovery.address(), ProxyFixture.list(1, true, members), "pushed", 200, 1024, "")
             .replace(
                 "\"settings\":{",
--- a/src/test/java/loadbalancer/proxy/ClientFloodTest.java
+++ b/src/test/java/loadbalancer/proxy/ClientFloodTest.java
@@ -33,7 +33,7 @@
 
   private static BalancerConfig one(FakeServer upstream, String memoryMb) throws IOException {
     return BalancerConfig.parse(
-        ProxyFixture.text(
+        ProxyFixture.configText(
                 NOWHERE,
                 ProxyFixture.list(1, true, ProxyFixture.member("s-1", upstream.address(), "ready")),
                 "on_request",
--- a/src/test/java/loadbalancer/proxy/GracefulShutdownTest.java
+++ b/src/test/java/loadbalancer/proxy/GracefulShutdownTest.java
@@ -36,7 +36,8 @@
 
   private static BalancerConfig config(long deadlineMillis) throws IOException {
     String text =
-        ProxyFixture.text("127.0.0.1:1", ProxyFixture.list(1, true), "on_request", 200, 1024, "");
+        ProxyFixture.configText(
+            "127.0.0.1:1", ProxyFixture.list(1, true), "on_request", 200, 1024, "");
     return BalancerConfig.parse(
         text.replace(
             "\"deadline-ns\":40000000000", "\"deadline-ns\":" + deadlineMillis * 1_000_000),
@@ -67,7 +68,8 @@
   @Test
   void completesAllRequestsBeforeSigkillMayCome() throws IOException {
     String text =
-        ProxyFixture.text("127.0.0.1:1", ProxyFixture.list(1, true), "on_request", 200, 1024, "");
+        ProxyFixture.configText(
+            "127.0.0.1:1", ProxyFixture.list(1, true), "on_request", 200, 1024, "");
     Settings brief =
         BalancerConfig.parse(text.replace("40000000000", "1940000000"), Map.of()).settings();
     assertTrue(GracefulShutdown.expiryMillis(brief) < 1940 + 700);
--- a/src/test/java/loadbalancer/proxy/LargeFleetIT.java
+++ b/src/test/java/loadbalancer/proxy/LargeFleetIT.java
@@ -129,7 +129,7 @@
                   c.awaitClose();
                 })) {
       String config =
-          ProxyFixture.text(
+          ProxyFixture.configText(
                   discovery.address(),
                   list(41, MANY / 2, "127.0.0.1:1"),
                   "pushed",
@@ -241,7 +241,7 @@
               ProxyFixture.member("s-slow", slow.address(), "ready"),
               ProxyFixture.member("s-known", known.address(), "ready"));
       int port =
-          start(ProxyFixture.text(discovery.address(), members, "pushed", 200, 256, ""), 256);
+          start(ProxyFixture.configText(discovery.address(), members, "pushed", 200, 256, ""), 256);
       List<Socket> open = openRequests(port, slow);
       connectIdle(port, idle);
       assertTrue(askAnew(port, "while-down").startsWith("HTTP/1.1 "), "and a request a final one");
--- a/src/test/java/loadbalancer/proxy/ReloadTest.java
+++ b/src/test/java/loadbalancer/proxy/ReloadTest.java
@@ -142,7 +142,7 @@
   @Test
   void prefersTheFileToTheEnvironment() throws Exception {
     String text =
-        ProxyFixture.text(
+        ProxyFixture.configText(
             "127.0.0.1:8501", ProxyFixture.list(1, true, A), "on_request", 200, 1024, "");
     Map<String, String> environment =
         Map.of("ROUTER_DISCOVERY", "127.0.0.1:8500", "ROUTER_NAME", "n7");
--- a/src/test/java/loadbalancer/testing/ProxyFixture.java
+++ b/src/test/java/loadbalancer/testing/ProxyFixture.java
@@ -216,7 +216,7 @@
     return config(discovery, known, "on_request", 200, 1024, "");
   }
 
-  /** The configuration that {@link #text} words. */
+  /** The configuration that {@link #configText} words. */
   public static BalancerConfig config(
       String discovery,
       String known,
@@ -225,7 +225,7 @@
       int sockets,
       String more)
       throws IOException {
-    String text = text(discovery, known, mode, connectTimeoutMillis, sockets, more);
+    String text = configText(discovery, known, mode, connectTimeoutMillis, sockets, more);
     return BalancerConfig.parse(text, Map.of());
   }
 
@@ -237,7 +237,7 @@
    * @param mode {@code on_request} or {@code pushed}
    * @param more further fields, each ended by a comma
    */
-  public static String text(
+  public static String configText(
       String discovery,
       String known,
       String mode,
--- a/src/test/java/loadbalancer/upstream/ConnectionReuseTest.java
+++ b/src/test/java/loadbalancer/upstream/ConnectionReuseTest.java
@@ -59,7 +59,7 @@
     try (FakeServer upstream = FakeServer.respondingWith(FakeServer.ok("x"))) {
       String list = SingleEndpoint.list(upstream.address());
       String text =
-          ProxyFixture.text(SingleEndpoint.NO_DISCOVERY, list, "on_request", 200, 1024, "")
+          ProxyFixture.configText(SingleEndpoint.NO_DISCOVERY, list, "on_request", 200, 1024, "")
               .replace("\"max-attempts\"", "\"conn-idle-ns\":40000000,\"max-attempts\"");
       BalancerConfig config = BalancerConfig.parse(text, Map.of());
       try (ProxyFixture proxy = new ProxyFixture(config, engine);
--- a/src/test/java/loadbalancer/upstream/WithdrawnAttemptTest.java
+++ b/src/test/java/loadbalancer/upstream/WithdrawnAttemptTest.java
@@ -136,7 +136,7 @@
               ProxyFixture.member("s-2", late.address(), "ready"));
       int connectTimeoutMillis = 1000 * ProxyFixture.TIMEOUT_SECONDS;
       String text =
-          ProxyFixture.text(
+          ProxyFixture.configText(
               SingleEndpoint.NO_DISCOVERY, list, "on_request", connectTimeoutMillis, 1024, "");
       BalancerConfig config =
           BalancerConfig.parse(
