--- a/src/main/java/loadbalancer/config/BalancerConfig.java
+++ b/src/main/java/loadbalancer/config/BalancerConfig.java
@@ -76,11 +76,11 @@
 
   /** Describes in one line why a configuration could not be read or used. */
   public static String describeProblem(Exception problem) {
-    String text = isSelfExplanatory(problem) ? problem.getMessage() : problem.toString();
+    String text = hasSelfExplanatoryMessage(problem) ? problem.getMessage() : problem.toString();
     return text.lines().findFirst().orElse("");
   }
 
-  private static boolean isSelfExplanatory(Exception problem) {
+  private static boolean hasSelfExplanatoryMessage(Exception problem) {
     return problem instanceof ConfigurationException
         || problem instanceof MalformedInputException
         || problem instanceof IllegalArgumentException;
--- a/src/main/java/loadbalancer/config/BalancerConfigParser.java
+++ b/src/main/java/loadbalancer/config/BalancerConfigParser.java
@@ -15,7 +15,7 @@
 final class BalancerConfigParser {
 
   /** Descriptors, where the file states no limit: the usual limit of a process. */
-  private static final int DEFAULT_SOCKETS = 1024;
+  private static final int DEFAULT_MAX_DESCRIPTORS = 1024;
 
   /** Memory in MiB, where the file states no limit. */
   private static final int DEFAULT_MEMORY_MIB = 192;
@@ -23,7 +23,7 @@
   private static final int BYTES_PER_MIB_SHIFT = 20;
 
   /** Time in ns after which endpoints close idle connections, where the settings don't say. */
-  private static final long DEFAULT_IDLE_NANOS = 5_000_000_000L;
+  private static final long DEFAULT_IDLE_TIMEOUT_NANOS = 5_000_000_000L;
 
   private static final int SEED_RADIX = 16;
   private static final String NO_LOAD_REPORTS = "none";
@@ -44,14 +44,14 @@
         SocketAddresses.parse("listen", textOrVariable("listen", "ROUTER_LISTEN")),
         SocketAddresses.parse("discovery", textOrVariable("discovery", "ROUTER_DISCOVERY")),
         seed(),
-        (int) limits.integer("sockets", DEFAULT_SOCKETS),
+        (int) limits.integer("sockets", DEFAULT_MAX_DESCRIPTORS),
         limits.integer("memory_mb", DEFAULT_MEMORY_MIB) << BYTES_PER_MIB_SHIFT,
         addressOrNull("peer_listen"),
         peers(),
         addressOrNull("peers_all"),
         knownEndpoints(),
         SettingsDecoder.decode(settings),
-        settings.objectOrEmpty("limits").integer("conn-idle-ns", DEFAULT_IDLE_NANOS),
+        settings.objectOrEmpty("limits").integer("conn-idle-ns", DEFAULT_IDLE_TIMEOUT_NANOS),
         hasLoadReports(settings));
   }
 
--- a/src/main/java/loadbalancer/json/MalformedInputException.java
+++ b/src/main/java/loadbalancer/json/MalformedInputException.java
@@ -44,7 +44,7 @@
   }
 
   /** The same problem, with its place in the input, such as {@code line 2}, before the message. */
-  public MalformedInputException at(String place) {
+  public MalformedInputException withLocation(String place) {
     return new MalformedInputException(place + ": " + getMessage(), path, expected, actual, this);
   }
 
--- a/src/main/java/loadbalancer/net/DescriptorBudget.java
+++ b/src/main/java/loadbalancer/net/DescriptorBudget.java
@@ -24,42 +24,42 @@
   private static final int SPARE_DESCRIPTORS = 32;
 
   /** The clients' part of the shared descriptors: each request needs one more for its upstream. */
-  private static final double CLIENT_PART = 0.5;
+  private static final double CLIENT_SHARE = 0.5;
 
-  private final int limit;
-  private final int shared;
-  private int open;
+  private final int maxDescriptors;
+  private final int maxConnections;
+  private int openConnections;
 
   /**
    * Creates a budget.
    *
-   * @param limit how many descriptors the process may have open
+   * @param maxDescriptors how many descriptors the process may have open
    */
-  public DescriptorBudget(int limit) {
-    this.limit = limit;
-    shared = limit - PROCESS_DESCRIPTORS - SPARE_DESCRIPTORS;
+  public DescriptorBudget(int maxDescriptors) {
+    this.maxDescriptors = maxDescriptors;
+    maxConnections = maxDescriptors - PROCESS_DESCRIPTORS - SPARE_DESCRIPTORS;
   }
 
   /** Counts a connection until it is closed. */
   public void register(Channel channel) {
-    open++;
-    channel.closeFuture().addListener(future -> open--);
+    openConnections++;
+    channel.closeFuture().addListener(future -> openConnections--);
   }
 
   /** Returns whether one more connection may be opened. */
   public boolean hasRoom() {
-    return open < shared;
+    return openConnections < maxConnections;
   }
 
   /** Returns whether more than half of the spare descriptors are in use as well. */
   public boolean isNearlyExhausted() {
-    return open > limit - PROCESS_DESCRIPTORS - SPARE_DESCRIPTORS / 2;
+    return openConnections > maxDescriptors - PROCESS_DESCRIPTORS - SPARE_DESCRIPTORS / 2;
   }
 
   /**
    * Returns the number of client connections from which on an idle one is closed for each new one.
    */
   public int maxClientConnections() {
-    return (int) (shared * CLIENT_PART);
+    return (int) (maxConnections * CLIENT_SHARE);
   }
 }
--- a/src/main/java/loadbalancer/net/MonotonicClock.java
+++ b/src/main/java/loadbalancer/net/MonotonicClock.java
@@ -13,12 +13,12 @@
    * The reading at the start of the process. An endpoint that has been up for longer counts as up
    * for this long: no decision depends on the difference.
    */
-  private static final long ORIGIN_NANOS = TimeUnit.DAYS.toNanos(1);
+  private static final long START_READING_NANOS = TimeUnit.DAYS.toNanos(1);
 
   private final long startNanos = System.nanoTime();
 
   /** Returns the current reading in nanoseconds. */
   public long nowNanos() {
-    return ORIGIN_NANOS + System.nanoTime() - startNanos;
+    return START_READING_NANOS + System.nanoTime() - startNanos;
   }
 }
--- a/src/main/java/loadbalancer/net/RoundingIoHandler.java
+++ b/src/main/java/loadbalancer/net/RoundingIoHandler.java
@@ -24,33 +24,33 @@
 
   /** Returns a factory of such handlers around NIO selectors. */
   public static IoHandlerFactory newFactory() {
-    return around(NioIoHandler.newFactory());
+    return wrap(NioIoHandler.newFactory());
   }
 
   /** Returns a factory of such handlers around those of another factory. */
-  public static IoHandlerFactory around(IoHandlerFactory factory) {
+  public static IoHandlerFactory wrap(IoHandlerFactory factory) {
     return executor -> new RoundingIoHandler(factory.newHandler(executor));
   }
 
   @Override
-  public int run(IoHandlerContext loop) {
-    if (context == null || context.loop != loop) {
-      context = new RoundingContext(loop);
+  public int run(IoHandlerContext loopContext) {
+    if (context == null || context.delegate != loopContext) {
+      context = new RoundingContext(loopContext);
     }
     return super.run(context);
   }
 
   /** The event loop's context with the time to the next timer rounded up. */
-  private record RoundingContext(IoHandlerContext loop) implements IoHandlerContext {
+  private record RoundingContext(IoHandlerContext delegate) implements IoHandlerContext {
 
     @Override
     public boolean canBlock() {
-      return loop.canBlock();
+      return delegate.canBlock();
     }
 
     @Override
     public long delayNanos(long currentTimeNanos) {
-      long delay = loop.delayNanos(currentTimeNanos);
+      long delay = delegate.delayNanos(currentTimeNanos);
       if (delay <= 0 || delay > Long.MAX_VALUE - MILLISECOND_NANOS) {
         return delay;
       }
@@ -59,17 +59,17 @@
 
     @Override
     public long deadlineNanos() {
-      return loop.deadlineNanos();
+      return delegate.deadlineNanos();
     }
 
     @Override
     public void reportActiveIoTime(long activeNanos) {
-      loop.reportActiveIoTime(activeNanos);
+      delegate.reportActiveIoTime(activeNanos);
     }
 
     @Override
     public boolean shouldReportActiveIoTime() {
-      return loop.shouldReportActiveIoTime();
+      return delegate.shouldReportActiveIoTime();
     }
   }
 }
--- a/src/main/java/loadbalancer/simulator/ActionEncoder.java
+++ b/src/main/java/loadbalancer/simulator/ActionEncoder.java
@@ -24,51 +24,51 @@
   /** Writes an action; the order of its fields is part of the protocol. */
   static void write(JsonGenerator out, Action action) throws IOException {
     if (action instanceof StartAttempt start) {
-      open(out, SimulatorProtocol.START_ATTEMPT);
+      startAction(out, SimulatorProtocol.START_ATTEMPT);
       out.writeStringField(SimulatorProtocol.REQUEST_ID, start.requestId());
       out.writeNumberField(SimulatorProtocol.TIMEOUT, start.timeoutNanos());
       out.writeNumberField(SimulatorProtocol.ENDPOINT_ID, start.endpointId());
     } else if (action instanceof CancelAttempt cancel) {
-      open(out, SimulatorProtocol.CANCEL_ATTEMPT);
+      startAction(out, SimulatorProtocol.CANCEL_ATTEMPT);
       out.writeStringField(SimulatorProtocol.REQUEST_ID, cancel.requestId());
       out.writeNumberField(SimulatorProtocol.ATTEMPT, cancel.attempt());
     } else if (action instanceof RejectRequest reject) {
-      open(out, SimulatorProtocol.REJECT_REQUEST);
+      startAction(out, SimulatorProtocol.REJECT_REQUEST);
       out.writeStringField(SimulatorProtocol.REQUEST_ID, reject.requestId());
       out.writeNumberField(SimulatorProtocol.RETRY_AFTER, reject.retryAfterNanos());
     } else if (action instanceof FailRequest fail) {
-      open(out, SimulatorProtocol.FAIL_REQUEST);
+      startAction(out, SimulatorProtocol.FAIL_REQUEST);
       out.writeStringField(SimulatorProtocol.REQUEST_ID, fail.requestId());
     } else if (action instanceof SetTimer timer) {
-      open(out, SimulatorProtocol.SET_TIMER);
+      startAction(out, SimulatorProtocol.SET_TIMER);
       out.writeStringField(SimulatorProtocol.TIMER_TOKEN, timer.token());
       out.writeNumberField(SimulatorProtocol.FIRE_AT, timer.atNanos());
     } else {
-      writeEndpointAction(out, action);
+      writeNonRequestAction(out, action);
     }
-    close(out);
+    endAction(out);
   }
 
   /** Writes an action that concerns no single request. */
-  private static void writeEndpointAction(JsonGenerator out, Action action) throws IOException {
+  private static void writeNonRequestAction(JsonGenerator out, Action action) throws IOException {
     if (action instanceof WatchEndpoints watch) {
-      open(out, SimulatorProtocol.WATCH_ENDPOINTS);
+      startAction(out, SimulatorProtocol.WATCH_ENDPOINTS);
       out.writeBooleanField(SimulatorProtocol.ENABLED, watch.enabled());
     } else if (action instanceof FetchEndpoints) {
-      open(out, SimulatorProtocol.FETCH_ENDPOINTS);
+      startAction(out, SimulatorProtocol.FETCH_ENDPOINTS);
     } else if (action instanceof CheckHealth check) {
-      open(out, SimulatorProtocol.CHECK_HEALTH);
+      startAction(out, SimulatorProtocol.CHECK_HEALTH);
       out.writeNumberField(SimulatorProtocol.ENDPOINT_ID, check.endpointId());
     } else if (action instanceof CloseIdleConnections close) {
-      open(out, SimulatorProtocol.CLOSE_IDLE_CONNECTIONS);
+      startAction(out, SimulatorProtocol.CLOSE_IDLE_CONNECTIONS);
       out.writeNumberField(SimulatorProtocol.ENDPOINT_ID, close.endpointId());
     } else if (action instanceof SendGossip gossip) {
-      open(out, SimulatorProtocol.SEND_GOSSIP);
+      startAction(out, SimulatorProtocol.SEND_GOSSIP);
       out.writeNumberField(SimulatorProtocol.GOSSIP_RECIPIENT, gossip.to());
       String data = Base64.getEncoder().encodeToString(gossip.data());
       out.writeStringField(SimulatorProtocol.GOSSIP_DATA, data);
     } else if (action instanceof LogMessage message) {
-      open(out, SimulatorProtocol.LOG_MESSAGE);
+      startAction(out, SimulatorProtocol.LOG_MESSAGE);
       out.writeStringField(SimulatorProtocol.TEXT, message.text());
     }
   }
@@ -77,19 +77,19 @@
   static void writeFault(JsonGenerator out, RuntimeException exception) throws IOException {
     StackTraceElement[] trace = exception.getStackTrace();
     String place = trace.length == 0 ? "unknown place" : trace[0].toString();
-    open(out, SimulatorProtocol.FAULT);
+    startAction(out, SimulatorProtocol.FAULT);
     out.writeStringField(
         SimulatorProtocol.TEXT,
         exception.getClass().getName() + ": " + exception.getMessage() + " at " + place);
-    close(out);
+    endAction(out);
   }
 
-  private static void open(JsonGenerator out, String name) throws IOException {
+  private static void startAction(JsonGenerator out, String name) throws IOException {
     out.writeStartObject();
     out.writeObjectFieldStart(name);
   }
 
-  private static void close(JsonGenerator out) throws IOException {
+  private static void endAction(JsonGenerator out) throws IOException {
     out.writeEndObject();
     out.writeEndObject();
   }
--- a/src/main/java/loadbalancer/simulator/SimulatorAdapter.java
+++ b/src/main/java/loadbalancer/simulator/SimulatorAdapter.java
@@ -63,7 +63,7 @@
     try (JsonGenerator generator = json.createGenerator(reply)) {
       handleBatch(JsonFields.parse(json, "batch", text), generator);
     } catch (MalformedInputException e) {
-      throw e.at(place);
+      throw e.withLocation(place);
     } catch (IllegalArgumentException e) {
       // Settings that cannot make sense.
       throw new MalformedInputException(place + ": " + e.getMessage());
--- a/src/main/java/loadbalancer/telemetry/EventLoopLagMonitor.java
+++ b/src/main/java/loadbalancer/telemetry/EventLoopLagMonitor.java
@@ -17,7 +17,7 @@
   private final EventLoop loop;
   private final MonotonicClock clock;
   private long lastTickNanos;
-  private boolean late;
+  private boolean isTickLate;
 
   /**
    * Starts to tick on the event loop, which has read its sockets shortly before each tick that is
@@ -33,11 +33,11 @@
   private void tick() {
     // A late tick counts from the next turn on only: in this one the sockets may not have been read
     // since.
-    late = !late && clock.nowNanos() - lastTickNanos > 2 * PERIOD_NANOS;
-    if (!late) {
+    isTickLate = !isTickLate && clock.nowNanos() - lastTickNanos > 2 * PERIOD_NANOS;
+    if (!isTickLate) {
       lastTickNanos = clock.nowNanos();
     }
-    loop.schedule(this::tick, late ? RETRY_NANOS : PERIOD_NANOS, TimeUnit.NANOSECONDS);
+    loop.schedule(this::tick, isTickLate ? RETRY_NANOS : PERIOD_NANOS, TimeUnit.NANOSECONDS);
   }
 
   /**
--- a/src/main/java/loadbalancer/telemetry/RequestTrace.java
+++ b/src/main/java/loadbalancer/telemetry/RequestTrace.java
@@ -25,9 +25,9 @@
   private static final int MAX_REQUEST_LINES = 5;
 
   /** A rejection within this time came at once; a later one was queued or attempted before. */
-  private static final long AT_ONCE_NANOS = TimeUnit.MILLISECONDS.toNanos(2);
+  private static final long MAX_AT_ONCE_NANOS = TimeUnit.MILLISECONDS.toNanos(2);
 
-  private static final int LINE_CAPACITY = 200;
+  private static final int INITIAL_LINE_CAPACITY = 200;
 
   private static final AttemptStatus[] STATUSES = AttemptStatus.values();
   private static final AttemptRefusal[] REFUSALS = AttemptRefusal.values();
@@ -98,7 +98,7 @@
       failed++;
       return true;
     }
-    if (duration < AT_ONCE_NANOS) {
+    if (duration < MAX_AT_ONCE_NANOS) {
       rejectedAtOnce++;
       return false;
     }
@@ -107,7 +107,8 @@
   }
 
   private void logSummary() {
-    StringBuilder line = new StringBuilder(LINE_CAPACITY).append("summary served=").append(served);
+    StringBuilder line =
+        new StringBuilder(INITIAL_LINE_CAPACITY).append("summary served=").append(served);
     line.append(" late=").append(late);
     line.append(" rejected_at_once=").append(rejectedAtOnce);
     line.append(" rejected_later=").append(rejectedLater);
@@ -141,7 +142,7 @@
 
   private void logRequest(TracedRequest request, HttpResponseStatus status, long nowNanos) {
     long acceptedAt = request.acceptedAtNanos();
-    StringBuilder line = new StringBuilder(LINE_CAPACITY).append("request trace_id=");
+    StringBuilder line = new StringBuilder(INITIAL_LINE_CAPACITY).append("request trace_id=");
     line.append(LogValues.quoteIfNeeded(request.traceId()));
     line.append(" class=").append(LogValues.quoteIfNeeded(request.requestClass().name()));
     line.append(" status=").append(status.code());
--- a/src/test/java/loadbalancer/json/JsonFieldsTest.java
+++ b/src/test/java/loadbalancer/json/JsonFieldsTest.java
@@ -100,7 +100,7 @@
   @Test
   void aPlaceIsPutBeforeTheMessage() {
     MalformedInputException exception =
-        MalformedInputException.mismatch("root.a", "a text", 7L).at("line 3");
+        MalformedInputException.mismatch("root.a", "a text", 7L).withLocation("line 3");
     assertEquals("line 3: field root.a: expected a text, got 7", exception.getMessage());
     assertEquals("root.a", exception.path());
   }
