--- a/src/test/java/loadbalancer/config/BalancerConfigTest.java
+++ b/src/test/java/loadbalancer/config/BalancerConfigTest.java
@@ -28,7 +28,7 @@
       "{\"name\":\"n\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"[::1]:8500\",\"seed\":\"ff\","
           + "\"settings\":{\"categories\":[{\"name\":\"c\",\"aim-ns\":400}]}}";
 
-  private static ConfigurationException rejection(String text) {
+  private static ConfigurationException parseFailure(String text) {
     return assertThrows(ConfigurationException.class, () -> BalancerConfig.parse(text, Map.of()));
   }
 
@@ -80,7 +80,8 @@
             + " \"x\""
       })
   void problemsAreDescribedWithThePathOfTheField(String part, String wrong, String problem) {
-    ConfigurationException exception = rejection(MINIMAL.replace(part, wrong == null ? "" : wrong));
+    ConfigurationException exception =
+        parseFailure(MINIMAL.replace(part, wrong == null ? "" : wrong));
     assertEquals("configuration: " + problem, BalancerConfig.describeProblem(exception));
   }
 
@@ -88,20 +89,20 @@
   @CsvSource(
       delimiter = '|',
       value = {"''", "{", "{}", "[1]", "{\"seed\":\"x\",\"name\":\"n\"}"})
-  void aTextThatIsNoConfigurationIsDescribedInOneLine(String text) {
-    String description = BalancerConfig.describeProblem(rejection(text));
+  void unusableTextIsDescribedInOneLine(String text) {
+    String description = BalancerConfig.describeProblem(parseFailure(text));
     assertEquals(1, description.lines().count());
     assertEquals("configuration: ", description.substring(0, 15));
   }
 
   @Test
-  void theCauseCarriesTheField() {
-    Throwable cause = rejection(MINIMAL.replace("\"ff\"", "7")).getCause();
+  void causeNamesTheField() {
+    Throwable cause = parseFailure(MINIMAL.replace("\"ff\"", "7")).getCause();
     assertEquals("config.seed", assertInstanceOf(MalformedInputException.class, cause).path());
   }
 
   @Test
-  void aFileThatIsNotNamedOrNotThereIsDescribed(@TempDir Path folder) {
+  void unnamedOrMissingFileIsDescribed(@TempDir Path folder) {
     ConfigurationException unnamed =
         assertThrows(ConfigurationException.class, () -> BalancerConfig.read(Map.of()));
     assertEquals(
--- a/src/test/java/loadbalancer/json/JsonFieldsTest.java
+++ b/src/test/java/loadbalancer/json/JsonFieldsTest.java
@@ -75,7 +75,7 @@
   }
 
   @Test
-  void numbersSkipWhatIsNone() {
+  void numbersSkipFieldsOfOtherTypes() {
     JsonFields fields = parse("{\"load\":{\"a\":1,\"b\":\"x\",\"c\":0.5,\"d\":null}}");
     assertEquals(Map.of("a", 1.0, "c", 0.5), fields.numbersOrEmpty("load"));
   }
@@ -98,7 +98,7 @@
   }
 
   @Test
-  void aPlaceIsPutBeforeTheMessage() {
+  void locationPrecedesTheMessage() {
     MalformedInputException exception =
         MalformedInputException.mismatch("root.a", "a text", 7L).withLocation("line 3");
     assertEquals("line 3: field root.a: expected a text, got 7", exception.getMessage());
--- a/src/test/java/loadbalancer/simulator/DecisionRecorder.java
+++ b/src/test/java/loadbalancer/simulator/DecisionRecorder.java
@@ -22,14 +22,14 @@
 
   @Test
   @EnabledIfSystemProperty(named = "decisions.record", matches = "true")
-  void recordAnew() throws IOException {
+  void recordDecisions() throws IOException {
     Files.createDirectories(DecisionRecordings.DIRECTORY);
-    for (DecisionScenario scenario : DecisionScenarios.reviewed()) {
+    for (DecisionScenario scenario : DecisionScenarios.shortScenarios()) {
       Files.write(
           DecisionRecordings.file(scenario.name()), DecisionRecordings.conversation(scenario));
     }
     List<String> digests = new ArrayList<>();
-    for (DecisionScenario scenario : DecisionScenarios.hashed()) {
+    for (DecisionScenario scenario : DecisionScenarios.longScenarios()) {
       digests.add(DecisionRecordings.digest(scenario));
     }
     Files.write(DecisionRecordings.DIGESTS, digests);
--- a/src/test/java/loadbalancer/simulator/DecisionRecordingTest.java
+++ b/src/test/java/loadbalancer/simulator/DecisionRecordingTest.java
@@ -26,23 +26,23 @@
  */
 class DecisionRecordingTest {
 
-  private static final int MOST_BYTES = 60 * 1024;
-  private static final int MOST_BYTES_IN_ALL = 450 * 1024;
+  private static final int MAX_FILE_BYTES = 60 * 1024;
+  private static final int MAX_TOTAL_BYTES = 450 * 1024;
 
   private static RecordingCoverage coverage;
 
-  static Stream<String> names() {
-    return DecisionScenarios.reviewed().stream().map(DecisionScenario::name);
+  static Stream<String> shortScenarioNames() {
+    return DecisionScenarios.shortScenarios().stream().map(DecisionScenario::name);
   }
 
-  static Stream<DecisionScenario> hashed() {
-    return DecisionScenarios.hashed().stream();
+  static Stream<DecisionScenario> longScenarios() {
+    return DecisionScenarios.longScenarios().stream();
   }
 
   @BeforeAll
-  static void countWhatIsRecorded() throws IOException {
+  static void countRecordings() throws IOException {
     coverage = new RecordingCoverage();
-    for (String name : names().toList()) {
+    for (String name : shortScenarioNames().toList()) {
       coverage.add(lines(name));
     }
   }
@@ -52,8 +52,8 @@
   }
 
   @ParameterizedTest
-  @MethodSource("names")
-  void recordedEventsGetTheRecordedActions(String name) throws IOException {
+  @MethodSource("shortScenarioNames")
+  void recordedEventsYieldTheRecordedActions(String name) throws IOException {
     Iterator<String> lines = lines(name).iterator();
     int[] line = {0};
     EngineConversation.run(
@@ -72,8 +72,8 @@
   }
 
   @ParameterizedTest(name = "{0}")
-  @MethodSource("hashed")
-  void longRunsGetTheRecordedActions(DecisionScenario scenario) throws IOException {
+  @MethodSource("longScenarios")
+  void longScenariosYieldTheRecordedDigests(DecisionScenario scenario) throws IOException {
     String expected =
         Files.readAllLines(DecisionRecordings.DIGESTS).stream()
             .filter(l -> l.startsWith(scenario.name() + " "))
@@ -86,25 +86,25 @@
   }
 
   @Test
-  void everyHashBelongsToALongRun() throws IOException {
+  void everyDigestBelongsToALongScenario() throws IOException {
     List<String> names =
         Files.readAllLines(DecisionRecordings.DIGESTS).stream()
             .map(l -> l.substring(0, l.indexOf(' ')))
             .toList();
-    assertEquals(hashed().map(DecisionScenario::name).toList(), names);
+    assertEquals(longScenarios().map(DecisionScenario::name).toList(), names);
   }
 
   @Test
-  void everyFileCanBeReviewed() throws IOException {
+  void recordingsAreSmallEnoughToReview() throws IOException {
     long all = 0;
-    for (String name : names().toList()) {
+    for (String name : shortScenarioNames().toList()) {
       long size = Files.size(DecisionRecordings.file(name));
       int batches = lines(name).size() / 2;
-      assertTrue(size <= MOST_BYTES, () -> name + " has " + size + " bytes");
+      assertTrue(size <= MAX_FILE_BYTES, () -> name + " has " + size + " bytes");
       assertTrue(batches >= 100 && batches <= 200, () -> name + " has " + batches + " batches");
       all += size;
     }
-    assertTrue(all <= MOST_BYTES_IN_ALL, "bytes in all: " + all);
+    assertTrue(all <= MAX_TOTAL_BYTES, "bytes in all: " + all);
   }
 
   /** What the files contain at least so often; {@link RecordingCoverage} says how it counts. */
@@ -178,17 +178,17 @@
     "decision repeated in cell, 1",
     "decision at_most_once sent again, 3"
   })
-  void everyKindOfEventAndDecisionIsRecorded(String what, int least) {
+  void everyCategoryIsRecorded(String what, int least) {
     int count = coverage.count(what);
     assertTrue(
         count >= least, () -> what + ": " + count + " times, not " + least + " in " + coverage);
   }
 
   @Test
-  void nothingIsRecordedThatTheRulesForbid() {
+  void recordingsContainNoRuleViolation() {
     assertEquals(0, coverage.count("fault"));
     assertEquals(0, coverage.count("sent to departed endpoint"));
     assertEquals(0, coverage.count("at_most_once repeated"));
-    assertNull(coverage.firstOverdue(), coverage::firstOverdue);
+    assertNull(coverage.firstOverdueRequest(), coverage::firstOverdueRequest);
   }
 }
--- a/src/test/java/loadbalancer/simulator/DecisionRecordings.java
+++ b/src/test/java/loadbalancer/simulator/DecisionRecordings.java
@@ -59,7 +59,7 @@
         " ",
         scenario.name(),
         String.valueOf(scenario.seed()),
-        String.valueOf(player.events()),
+        String.valueOf(player.eventCount()),
         HexFormat.of().formatHex(sha256.digest()));
   }
 
--- a/src/test/java/loadbalancer/simulator/DecisionScenario.java
+++ b/src/test/java/loadbalancer/simulator/DecisionScenario.java
@@ -17,48 +17,48 @@
     int maxEvents) {
 
   /** A second in nanoseconds. */
-  static final long SECOND = 1_000_000_000L;
+  static final long SECOND_NANOS = 1_000_000_000L;
 
   /** A millisecond in nanoseconds. */
-  static final long MILLISECOND = 1_000_000L;
+  static final long MILLISECOND_NANOS = 1_000_000L;
 
   /** The clock reading at which every scenario begins. */
-  static final long START = 10 * SECOND;
+  static final long START_NANOS = 10 * SECOND_NANOS;
 
   /**
    * The clients and the endpoints.
    *
    * @param requestsPerSecond the mean rate of first tries
    * @param keys the number of keys, of which the first are asked for most; 0 for requests without
-   * @param hintNanos the usual work hint; 0 for requests without
+   * @param workHintNanos the usual work hint; 0 for requests without
    * @param endpoints how many the list has at first
    * @param zones over how many zones they are spread
-   * @param workers requests that an endpoint serves at once; others wait
-   * @param serviceNanos the mean service time
+   * @param workersPerEndpoint requests that an endpoint serves at once; others wait
+   * @param serviceTimeNanos the mean service time
    * @param disconnectShare the part of clients that disconnect early
-   * @param hurriedShare the part of clients that wait for less than the class's deadline
+   * @param shortDeadlineShare the part of clients that wait for less than the class's deadline
    * @param tickNanos the time between batches
    */
   record Traffic(
       double requestsPerSecond,
       int keys,
-      long hintNanos,
+      long workHintNanos,
       int endpoints,
       int zones,
-      int workers,
-      long serviceNanos,
+      int workersPerEndpoint,
+      long serviceTimeNanos,
       double disconnectShare,
-      double hurriedShare,
+      double shortDeadlineShare,
       long tickNanos) {}
 
   /** Something that happens to an endpoint, to all of them, to the list or to the traffic. */
   record Incident(double second, IncidentKind kind, int endpoint) {
 
     /** The number in place of an endpoint's that stands for all of them. */
-    static final int ALL = -1;
+    static final int ALL_ENDPOINTS = -1;
 
     long atNanos() {
-      return START + (long) (second * SECOND);
+      return START_NANOS + (long) (second * SECOND_NANOS);
     }
   }
 
--- a/src/test/java/loadbalancer/simulator/DecisionScenarios.java
+++ b/src/test/java/loadbalancer/simulator/DecisionScenarios.java
@@ -1,6 +1,6 @@
 package loadbalancer.simulator;
 
-import static loadbalancer.simulator.DecisionScenario.MILLISECOND;
+import static loadbalancer.simulator.DecisionScenario.MILLISECOND_NANOS;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -13,16 +13,16 @@
 /** The scenarios of which the engine's decisions are recorded. */
 final class DecisionScenarios {
 
-  private static final int BATCHES = 155;
-  private static final int LONG_EVENTS = 20_000;
-  private static final int LONG_SECONDS = 300;
-  private static final int LONG_ENDPOINTS = 10;
-  private static final long TICK = 30 * MILLISECOND;
+  private static final int SHORT_SCENARIO_BATCHES = 155;
+  private static final int LONG_SCENARIO_EVENTS = 20_000;
+  private static final int LONG_SCENARIO_SECONDS = 300;
+  private static final int LONG_SCENARIO_ENDPOINTS = 10;
+  private static final long TICK_NANOS = 30 * MILLISECOND_NANOS;
 
   private DecisionScenarios() {}
 
   /** The short scenarios, whose recordings are kept in full. */
-  static List<DecisionScenario> reviewed() {
+  static List<DecisionScenario> shortScenarios() {
     return List.of(
         ejection(),
         hedges(),
@@ -37,14 +37,14 @@
   private static DecisionScenario ejection() {
     ScenarioSettings settings =
         new ScenarioSettings()
-            .warmKeys()
-            .type("read", "idempotent", 400, 2000, 3)
-            .type("order", "at_most_once", 600, 2000, 5);
+            .keyAffinity()
+            .requestClass("read", "idempotent", 400, 2000, 3)
+            .requestClass("order", "at_most_once", 600, 2000, 5);
     return scenario(
         "ejection",
         11,
         settings,
-        new Traffic(20, 12, 0, 4, 1, 2, 40 * MILLISECOND, 0.02, 0.02, TICK),
+        new Traffic(20, 12, 0, 4, 1, 2, 40 * MILLISECOND_NANOS, 0.02, 0.02, TICK_NANOS),
         "0.7 FAILING 1",
         "2.0 HEALTHY 1",
         "2.4 RESETTING 2",
@@ -60,16 +60,16 @@
   private static DecisionScenario hedges() {
     ScenarioSettings settings =
         new ScenarioSettings()
-                .groupOf(4)
-                .weights("nominal")
-                .type("read", "idempotent", 800, 2000, 3)
-                .type("update", "deduplicated zone 700", 800, 2000, 4)
-                .stream("feed", 800, 1500, 2);
+            .groupSize(4)
+            .weightKind("nominal")
+            .requestClass("read", "idempotent", 800, 2000, 3)
+            .requestClass("update", "deduplicated zone 700", 800, 2000, 4)
+            .streamingClass("feed", 800, 1500, 2);
     return scenario(
         "hedges",
         12,
         settings,
-        new Traffic(20, 20, 0, 3, 2, 3, 30 * MILLISECOND, 0.15, 0, TICK),
+        new Traffic(20, 20, 0, 3, 2, 3, 30 * MILLISECOND_NANOS, 0.15, 0, TICK_NANOS),
         "0.8 HANGING 0",
         "1.5 HEALTHY 0",
         "2.0 HANGING 2",
@@ -82,19 +82,19 @@
   private static DecisionScenario polledList() {
     ScenarioSettings settings =
         new ScenarioSettings()
-            .polledList()
-            .weights("rough")
+            .polledDiscovery()
+            .weightKind("rough")
             .withoutHedges()
             .withoutRetryAfter()
             .tenant("t1", 0.6, 0)
             .tenant("t2", 0.4, 0)
-            .type("read", "idempotent", 400, 1500, 3)
-            .type("order", "at_most_once", 400, 1500, 5);
+            .requestClass("read", "idempotent", 400, 1500, 3)
+            .requestClass("order", "at_most_once", 400, 1500, 5);
     return scenario(
         "polled-list",
         13,
         settings,
-        new Traffic(17, 10, 0, 3, 2, 1, 60 * MILLISECOND, 0.12, 0.1, TICK),
+        new Traffic(17, 10, 0, 3, 2, 1, 60 * MILLISECOND_NANOS, 0.12, 0.1, TICK_NANOS),
         "0.6 HANGING 1",
         "0.9 LIST_FAILURE 0",
         "1.0 DRAIN 1",
@@ -114,19 +114,19 @@
   private static DecisionScenario quotas() {
     ScenarioSettings settings =
         new ScenarioSettings()
-            .groupOf(4)
-            .weights("live")
-            .warmKeys()
+            .groupSize(4)
+            .weightKind("live")
+            .keyAffinity()
             .tenant("t1", 0.4, 16)
             .tenant("t2", 0.35, 28)
             .tenant("t3", 0.25, 20)
-            .type("read", "idempotent", 400, 1200, 3)
-            .type("write", "deduplicated all 1000", 500, 1200, 4);
+            .requestClass("read", "idempotent", 400, 1200, 3)
+            .requestClass("write", "deduplicated all 1000", 500, 1200, 4);
     return scenario(
         "quotas",
         14,
         settings,
-        new Traffic(12, 9, 0, 3, 1, 1, 90 * MILLISECOND, 0.02, 0, TICK),
+        new Traffic(12, 9, 0, 3, 1, 1, 90 * MILLISECOND_NANOS, 0.02, 0, TICK_NANOS),
         "0.8 CROWD 0",
         "2.4 CALM 0");
   }
@@ -134,17 +134,17 @@
   private static DecisionScenario slowStart() {
     ScenarioSettings settings =
         new ScenarioSettings()
-            .polledList()
-            .groupOf(100)
-            .weights("nominal")
+            .polledDiscovery()
+            .groupSize(100)
+            .weightKind("nominal")
             .slowStart(0.14, 6000, 3)
-            .type("read", "idempotent", 400, 2000, 3)
-            .type("write", "deduplicated all 600", 400, 2000, 3);
+            .requestClass("read", "idempotent", 400, 2000, 3)
+            .requestClass("write", "deduplicated all 600", 400, 2000, 3);
     return scenario(
         "slow-start",
         15,
         settings,
-        new Traffic(23, 0, 0, 4, 2, 2, 40 * MILLISECOND, 0.1, 0.05, TICK),
+        new Traffic(23, 0, 0, 4, 2, 2, 40 * MILLISECOND_NANOS, 0.1, 0.05, TICK_NANOS),
         "1.0 RESTART 0",
         "1.3 RESTART 5",
         "2.0 UNREACHABLE 1",
@@ -158,14 +158,15 @@
     ScenarioSettings settings =
         new ScenarioSettings()
             .slowStart(0.25, 4000, 2)
-            .warmKeys()
-            .type("read", "idempotent", 500, 1500, 3)
-            .type("order", "at_most_once", 500, 1500, 5);
+            .keyAffinity()
+            .requestClass("read", "idempotent", 500, 1500, 3)
+            .requestClass("order", "at_most_once", 500, 1500, 5);
     return scenario(
         "cold-fleet",
         16,
         settings,
-        new Traffic(18, 8, 12 * MILLISECOND, 4, 1, 2, 30 * MILLISECOND, 0.02, 0, TICK),
+        new Traffic(
+            18, 8, 12 * MILLISECOND_NANOS, 4, 1, 2, 30 * MILLISECOND_NANOS, 0.02, 0, TICK_NANOS),
         "0 RESTART -1",
         "1.6 RESTART 2",
         "2.4 CROWD 0",
@@ -176,15 +177,15 @@
   private static DecisionScenario retryBudget() {
     ScenarioSettings settings =
         new ScenarioSettings()
-            .groupOf(4)
-            .type("read", "idempotent", 400, 1500, 3)
-            .type("write", "deduplicated all 800", 400, 1500, 4)
-            .type("order", "at_most_once", 400, 1500, 5);
+            .groupSize(4)
+            .requestClass("read", "idempotent", 400, 1500, 3)
+            .requestClass("write", "deduplicated all 800", 400, 1500, 4)
+            .requestClass("order", "at_most_once", 400, 1500, 5);
     return scenario(
         "retry-budget",
         17,
         settings,
-        new Traffic(17, 0, 0, 4, 2, 2, 40 * MILLISECOND, 0, 0, TICK),
+        new Traffic(17, 0, 0, 4, 2, 2, 40 * MILLISECOND_NANOS, 0, 0, TICK_NANOS),
         "0.4 FAILING -1",
         "1.4 HEALTHY -1",
         "2.2 UNSTABLE -1",
@@ -196,19 +197,19 @@
   private static DecisionScenario deduplication() {
     ScenarioSettings settings =
         new ScenarioSettings()
-            .groupOf(4)
-            .weights("rough")
+            .groupSize(4)
+            .weightKind("rough")
             .tenant("t1", 0.7, 60)
             .tenant("t2", 0.3, 40)
-            .type("update", "deduplicated zone 400", 400, 1500, 3)
-            .type("cart", "deduplicated cell 300", 400, 1500, 3)
-            .type("write", "deduplicated all 100", 400, 1500, 3)
-            .type("order", "at_most_once", 400, 1500, 5);
+            .requestClass("update", "deduplicated zone 400", 400, 1500, 3)
+            .requestClass("cart", "deduplicated cell 300", 400, 1500, 3)
+            .requestClass("write", "deduplicated all 100", 400, 1500, 3)
+            .requestClass("order", "at_most_once", 400, 1500, 5);
     return scenario(
         "deduplication",
         18,
         settings,
-        new Traffic(17, 16, 0, 8, 2, 2, 40 * MILLISECOND, 0.1, 0, TICK),
+        new Traffic(17, 16, 0, 8, 2, 2, 40 * MILLISECOND_NANOS, 0.1, 0, TICK_NANOS),
         "0.5 RESETTING 0",
         "0.7 RESETTING 2",
         "0.9 UNREACHABLE 4",
@@ -229,10 +230,10 @@
     return new DecisionScenario(
         name,
         seed,
-        settings.json(),
+        settings.toJson(),
         traffic,
         Arrays.stream(incidents).map(DecisionScenarios::incident).toList(),
-        BATCHES,
+        SHORT_SCENARIO_BATCHES,
         Integer.MAX_VALUE);
   }
 
@@ -247,40 +248,40 @@
    * The long scenarios, of which only a hash is kept: the settings of each short one with a larger
    * fleet, at three rates, with random incidents.
    */
-  static List<DecisionScenario> hashed() {
+  static List<DecisionScenario> longScenarios() {
     List<DecisionScenario> scenarios = new ArrayList<>();
-    for (DecisionScenario base : reviewed()) {
-      for (int load = 0; load < 3; load++) {
-        scenarios.add(enlarged(base, load));
+    for (DecisionScenario base : shortScenarios()) {
+      for (int loadLevel = 0; loadLevel < 3; loadLevel++) {
+        scenarios.add(longScenario(base, loadLevel));
       }
     }
     return scenarios;
   }
 
-  private static DecisionScenario enlarged(DecisionScenario base, int load) {
-    long seed = base.seed() * 100 + load;
-    Traffic small = base.traffic();
-    double perEndpoint = small.requestsPerSecond() / small.endpoints();
+  private static DecisionScenario longScenario(DecisionScenario base, int loadLevel) {
+    long seed = base.seed() * 100 + loadLevel;
+    Traffic baseTraffic = base.traffic();
+    double perEndpoint = baseTraffic.requestsPerSecond() / baseTraffic.endpoints();
     Traffic traffic =
         new Traffic(
-            perEndpoint * LONG_ENDPOINTS * (1 + 1.5 * load),
-            small.keys() * 20,
-            small.hintNanos(),
-            LONG_ENDPOINTS,
-            small.zones(),
-            small.workers() + 1,
-            small.serviceNanos(),
-            small.disconnectShare(),
-            small.hurriedShare(),
-            TICK / 5);
+            perEndpoint * LONG_SCENARIO_ENDPOINTS * (1 + 1.5 * loadLevel),
+            baseTraffic.keys() * 20,
+            baseTraffic.workHintNanos(),
+            LONG_SCENARIO_ENDPOINTS,
+            baseTraffic.zones(),
+            baseTraffic.workersPerEndpoint() + 1,
+            baseTraffic.serviceTimeNanos(),
+            baseTraffic.disconnectShare(),
+            baseTraffic.shortDeadlineShare(),
+            TICK_NANOS / 5);
     return new DecisionScenario(
-        "long-" + base.name() + "-" + (load + 1),
+        "long-" + base.name() + "-" + (loadLevel + 1),
         seed,
         base.settings(),
         traffic,
         randomIncidents(seed),
         Integer.MAX_VALUE,
-        LONG_EVENTS);
+        LONG_SCENARIO_EVENTS);
   }
 
   /** One incident a second or so, one in five of them fleet-wide; each ends after a while. */
@@ -288,18 +289,19 @@
     SplittableRandom random = new SplittableRandom(-seed);
     IncidentKind[] kinds = IncidentKind.values();
     List<Incident> incidents = new ArrayList<>();
-    for (double second = 2; second < LONG_SECONDS; second += 2 * random.nextDouble()) {
+    for (double second = 2; second < LONG_SCENARIO_SECONDS; second += 2 * random.nextDouble()) {
       IncidentKind kind = kinds[random.nextInt(kinds.length)];
       boolean fleetWide = random.nextInt(5) == 0 && kind.ordinal() < IncidentKind.DRAIN.ordinal();
-      int endpoint = fleetWide ? Incident.ALL : random.nextInt(LONG_ENDPOINTS + 2);
+      int endpoint =
+          fleetWide ? Incident.ALL_ENDPOINTS : random.nextInt(LONG_SCENARIO_ENDPOINTS + 2);
       incidents.add(new Incident(second, kind, endpoint));
       double end = second + (fleetWide ? 0.5 : 3) * (0.5 + random.nextDouble());
-      incidents.add(new Incident(end, remedy(kind), endpoint));
+      incidents.add(new Incident(end, recovery(kind), endpoint));
     }
     return incidents;
   }
 
-  private static IncidentKind remedy(IncidentKind kind) {
+  private static IncidentKind recovery(IncidentKind kind) {
     return switch (kind) {
       case DRAIN -> IncidentKind.RETURN;
       case REMOVE -> IncidentKind.RESTART;
--- a/src/test/java/loadbalancer/simulator/ScenarioPlayer.java
+++ b/src/test/java/loadbalancer/simulator/ScenarioPlayer.java
@@ -22,47 +22,49 @@
  */
 final class ScenarioPlayer implements UnaryOperator<String> {
 
-  private static final long CONNECT_TIMEOUT = 100 * DecisionScenario.MILLISECOND;
-  private static final long QUICK = 3 * DecisionScenario.MILLISECOND;
-  private static final long LIST_CALL = 15 * DecisionScenario.MILLISECOND;
-  private static final int QUEUE_LIMIT = 12;
+  private static final long CONNECT_TIMEOUT_NANOS = 100 * DecisionScenario.MILLISECOND_NANOS;
+  private static final long FAST_RESPONSE_NANOS = 3 * DecisionScenario.MILLISECOND_NANOS;
+  private static final long LIST_LATENCY_NANOS = 15 * DecisionScenario.MILLISECOND_NANOS;
+  private static final int MAX_IN_FLIGHT_PER_WORKER = 12;
 
   private final DecisionScenario scenario;
   private final Traffic traffic;
   private final WireJson settings;
   private final SplittableRandom random;
-  private final PriorityQueue<Pending> pending =
-      new PriorityQueue<>(Comparator.comparingLong(Pending::at).thenComparingLong(Pending::order));
+  private final PriorityQueue<ScheduledAction> scheduledActions =
+      new PriorityQueue<>(
+          Comparator.comparingLong(ScheduledAction::atNanos)
+              .thenComparingLong(ScheduledAction::order));
   private final Map<Integer, Endpoint> endpoints = new LinkedHashMap<>();
   private final Map<Long, Endpoint> endpointsById = new HashMap<>();
   private final Map<String, ClientRequest> requests = new HashMap<>();
-  private final Set<Endpoint> unpublished = new LinkedHashSet<>();
+  private final Set<Endpoint> unpublishedChanges = new LinkedHashSet<>();
   private final List<String> messages = new ArrayList<>();
-  private long now = DecisionScenario.START;
-  private long lastArrival = DecisionScenario.START;
-  private long order;
+  private long nowNanos = DecisionScenario.START_NANOS;
+  private long lastArrivalNanos = DecisionScenario.START_NANOS;
+  private long nextOrder;
   private long listVersion = 1;
   private int requestCount;
-  private int batches;
-  private int events;
+  private int batchCount;
+  private int eventCount;
   private double crowd = 1;
-  private boolean subscribed;
-  private int failingListCalls;
+  private boolean isWatching;
+  private int failingWatches;
 
   ScenarioPlayer(DecisionScenario scenario) {
     this.scenario = scenario;
     traffic = scenario.traffic();
     settings = WireJson.parse(scenario.settings());
     random = new SplittableRandom(scenario.seed());
-    subscribed = !"on_request".equals(settings.text("registry-mode"));
+    isWatching = !"on_request".equals(settings.text("registry-mode"));
     for (int i = 0; i < traffic.endpoints(); i++) {
-      endpoint(i).listed = true;
+      endpoint(i).isListed = true;
     }
   }
 
   /** How many events were sent. */
-  int events() {
-    return events;
+  int eventCount() {
+    return eventCount;
   }
 
   /** Carries out the actions of a reply and returns the next batch, or null at the end. */
@@ -71,55 +73,55 @@
     if (reply == null) {
       return firstBatch();
     }
-    WireJson.parse(reply).messages("actions").forEach(this::carryOut);
-    if (batches >= scenario.maxBatches() || events >= scenario.maxEvents()) {
+    WireJson.parse(reply).messages("actions").forEach(this::execute);
+    if (batchCount >= scenario.maxBatches() || eventCount >= scenario.maxEvents()) {
       return null;
     }
     do {
-      now += traffic.tickNanos();
-      while (pending.peek().at <= now) {
-        pending.poll().action.run();
+      nowNanos += traffic.tickNanos();
+      while (scheduledActions.peek().atNanos <= nowNanos) {
+        scheduledActions.poll().action.run();
       }
     } while (messages.isEmpty());
-    return batch();
+    return takeBatch();
   }
 
   private String firstBatch() {
     for (Incident incident : scenario.incidents()) {
-      if (incident.atNanos() <= now) {
-        happen(incident);
+      if (incident.atNanos() <= nowNanos) {
+        startIncident(incident);
       } else {
-        schedule(incident.atNanos(), () -> happen(incident));
+        schedule(incident.atNanos(), () -> startIncident(incident));
       }
     }
     messages.clear();
-    unpublished.clear();
+    unpublishedChanges.clear();
     messages.add(
         "{\"Provision\":{\"seed\":"
             + scenario.seed()
             + ",\"boot-info\":"
             + scenario.settings()
             + "}}");
-    topology("C", endpoints.values());
+    sendEndpointList("C", endpoints.values());
     scheduleArrival();
-    return batch();
+    return takeBatch();
   }
 
-  private String batch() {
+  private String takeBatch() {
     String batch =
         "{\"clock-ns\":"
-            + now
+            + nowNanos
             + ",\"groups\":[{\"balancer\":0,\"msgs\":["
             + String.join(",", messages)
             + "]}]}";
-    batches++;
-    events += messages.size();
+    batchCount++;
+    eventCount += messages.size();
     messages.clear();
     return batch;
   }
 
   private void schedule(long at, Runnable action) {
-    pending.add(new Pending(at, order++, action));
+    scheduledActions.add(new ScheduledAction(at, nextOrder++, action));
   }
 
   private void send(String name, String fields) {
@@ -128,38 +130,42 @@
 
   // Actions
 
-  private void carryOut(WireJson action) {
+  private void execute(WireJson action) {
     WireJson fields = action.messageFields();
     switch (action.messageName()) {
-      case "Deliver" -> deliver(fields);
-      case "AbortAttempt" -> abort(requests.get(fields.text("rid")), (int) fields.integer("go"));
+      case "Deliver" -> startAttempt(fields);
+      case "AbortAttempt" ->
+          cancelAttempt(requests.get(fields.text("rid")), (int) fields.integer("go"));
       case "Decline" ->
-          declined(requests.get(fields.text("rid")), fields.integer("not-before-for-ns"));
-      case "DropRequest" -> requests.get(fields.text("rid")).ended = true;
+          handleRejection(requests.get(fields.text("rid")), fields.integer("not-before-for-ns"));
+      case "DropRequest" -> requests.get(fields.text("rid")).isEnded = true;
       case "SetTimer" -> {
         String handle = fields.text("handle");
         schedule(
             fields.integer("fire-at-ns"), () -> send("Fired", "\"handle\":\"" + handle + "\""));
       }
-      case "Observe" -> schedule(now + LIST_CALL, this::answerListCall);
+      case "Observe" -> schedule(nowNanos + LIST_LATENCY_NANOS, this::answerWatch);
       default -> throw new AssertionError("unexpected action " + action.values());
     }
   }
 
-  private void deliver(WireJson fields) {
+  private void startAttempt(WireJson fields) {
     ClientRequest request = requests.get(fields.text("rid"));
     Attempt attempt =
         new Attempt(
-            request, request.attempts.size(), endpointsById.get(fields.integer("upstream")), now);
+            request,
+            request.attempts.size(),
+            endpointsById.get(fields.integer("upstream")),
+            nowNanos);
     request.attempts.add(attempt);
     attempt.endpoint.inFlight++;
-    if (request.ended) {
-      schedule(now + 1, () -> resolve(attempt, "not_sent"));
+    if (request.isEnded) {
+      schedule(nowNanos + 1, () -> endAttempt(attempt, "not_sent"));
       return;
     }
-    long patience = fields.integer("patience-ns");
-    long left = request.deadline - now;
-    long limit = patience > 0 ? Math.min(patience, left) : left;
+    long timeout = fields.integer("patience-ns");
+    long remaining = request.deadlineNanos - nowNanos;
+    long limit = timeout > 0 ? Math.min(timeout, remaining) : remaining;
     serve(attempt, limit);
   }
 
@@ -169,108 +175,109 @@
       behaviour = random.nextBoolean() ? IncidentKind.FAILING : IncidentKind.HEALTHY;
     }
     switch (behaviour) {
-      case FAILING -> end(attempt, QUICK, "server_error", limit);
-      case REFUSING -> end(attempt, QUICK, "turned_away", limit);
-      case RESETTING -> end(attempt, 5 * QUICK, "connection_lost", limit);
-      case UNREACHABLE -> end(attempt, CONNECT_TIMEOUT, "no_connection", limit);
-      case HANGING -> end(attempt, Long.MAX_VALUE, "served", limit);
-      default -> answer(attempt, limit, behaviour == IncidentKind.SLOW ? 6 : 1);
+      case FAILING -> scheduleEnd(attempt, FAST_RESPONSE_NANOS, "server_error", limit);
+      case REFUSING -> scheduleEnd(attempt, FAST_RESPONSE_NANOS, "turned_away", limit);
+      case RESETTING -> scheduleEnd(attempt, 5 * FAST_RESPONSE_NANOS, "connection_lost", limit);
+      case UNREACHABLE -> scheduleEnd(attempt, CONNECT_TIMEOUT_NANOS, "no_connection", limit);
+      case HANGING -> scheduleEnd(attempt, Long.MAX_VALUE, "served", limit);
+      default -> respond(attempt, limit, behaviour == IncidentKind.SLOW ? 6 : 1);
     }
   }
 
-  private void answer(Attempt attempt, long limit, double slowness) {
+  private void respond(Attempt attempt, long limit, double slowness) {
     Endpoint endpoint = attempt.endpoint;
-    if (endpoint.inFlight > QUEUE_LIMIT * traffic.workers()) {
-      end(attempt, QUICK, "turned_away", limit);
+    if (endpoint.inFlight > MAX_IN_FLIGHT_PER_WORKER * traffic.workersPerEndpoint()) {
+      scheduleEnd(attempt, FAST_RESPONSE_NANOS, "turned_away", limit);
       return;
     }
-    double queue = Math.max(1, (double) endpoint.inFlight / traffic.workers());
+    double queue = Math.max(1, (double) endpoint.inFlight / traffic.workersPerEndpoint());
     long latency =
         (long)
-            (traffic.serviceNanos()
+            (traffic.serviceTimeNanos()
                 * (0.5 + random.nextDouble())
                 * queue
                 * slowness
-                * coldness(endpoint)
-                * attempt.request.work);
-    if (attempt.request.stream && latency < limit) {
-      schedule(now + latency / 2, () -> startStream(attempt));
+                * slowStartFactor(endpoint)
+                * attempt.request.workFactor);
+    if (attempt.request.isStreaming && latency < limit) {
+      schedule(nowNanos + latency / 2, () -> startStream(attempt));
     }
-    end(attempt, latency, "served", limit);
+    scheduleEnd(attempt, latency, "served", limit);
   }
 
-  private double coldness(Endpoint endpoint) {
+  private double slowStartFactor(Endpoint endpoint) {
     double warmAfter = settings.nested("contract").number("warm-within-ns");
-    double cold = Math.max(0, 1 - (now - endpoint.launched) / warmAfter);
-    return endpoint.launched == 0 ? 1 : 1 + 3 * cold;
+    double cold = Math.max(0, 1 - (nowNanos - endpoint.startedNanos) / warmAfter);
+    return endpoint.startedNanos == 0 ? 1 : 1 + 3 * cold;
   }
 
-  private void end(Attempt attempt, long latency, String status, long limit) {
+  private void scheduleEnd(Attempt attempt, long latency, String status, long limit) {
     String outcome = latency < limit ? status : "no_answer";
-    schedule(now + Math.min(latency, limit), () -> resolve(attempt, outcome));
+    schedule(nowNanos + Math.min(latency, limit), () -> endAttempt(attempt, outcome));
   }
 
-  private void abort(ClientRequest request, int number) {
+  private void cancelAttempt(ClientRequest request, int number) {
     Attempt attempt = request.attempts.get(number);
-    if (!attempt.streaming) {
-      schedule(now + 1, () -> resolve(attempt, "called_off"));
+    if (!attempt.isStreaming) {
+      schedule(nowNanos + 1, () -> endAttempt(attempt, "called_off"));
     }
   }
 
-  private void declined(ClientRequest request, long notBefore) {
-    request.ended = true;
-    if (!request.retry && random.nextInt(3) == 0) {
-      schedule(now + notBefore + QUICK, () -> arrive(request));
+  private void handleRejection(ClientRequest request, long notBefore) {
+    request.isEnded = true;
+    if (!request.isRetry && random.nextInt(3) == 0) {
+      schedule(nowNanos + notBefore + FAST_RESPONSE_NANOS, () -> sendRequest(request));
     }
   }
 
   // Outcomes
 
   private void startStream(Attempt attempt) {
-    if (!attempt.ended && !attempt.request.ended && !attempt.request.streamed) {
-      attempt.streaming = true;
-      attempt.request.streamed = true;
-      send("First", attempt.fields() + ",\"wait-time-ns\":" + (now - attempt.sentAt));
+    if (!attempt.isEnded && !attempt.request.isEnded && !attempt.request.hasResponseStarted) {
+      attempt.isStreaming = true;
+      attempt.request.hasResponseStarted = true;
+      send("First", attempt.fields() + ",\"wait-time-ns\":" + (nowNanos - attempt.sentAtNanos));
     }
   }
 
-  private void resolve(Attempt attempt, String status) {
-    if (attempt.ended) {
+  private void endAttempt(Attempt attempt, String status) {
+    if (attempt.isEnded) {
       return;
     }
-    attempt.ended = true;
+    attempt.isEnded = true;
     attempt.endpoint.inFlight--;
     ClientRequest request = attempt.request;
-    request.ended |= status.equals("served");
+    request.isEnded |= status.equals("served");
     send(
         "Resolved",
         attempt.fields()
             + ",\"rc\":\""
             + status
             + "\",\"wait-time-ns\":"
-            + (now - attempt.sentAt)
+            + (nowNanos - attempt.sentAtNanos)
             + ",\"done-flag\":"
-            + request.ended);
+            + request.isEnded);
   }
 
   // Clients
 
   private void scheduleArrival() {
     double gap = -StrictMath.log(1 - random.nextDouble()) / traffic.requestsPerSecond() / crowd;
-    lastArrival += (long) (gap * DecisionScenario.SECOND);
+    lastArrivalNanos += (long) (gap * DecisionScenario.SECOND_NANOS);
     schedule(
-        lastArrival,
+        lastArrivalNanos,
         () -> {
-          arrive(null);
+          sendRequest(null);
           scheduleArrival();
         });
   }
 
   /** A new request, or the client's own retry of one that was declined. */
-  private void arrive(ClientRequest previous) {
-    ClientRequest request = previous == null ? newRequest() : previous.again("r" + ++requestCount);
-    long wait = request.patience;
-    request.deadline = now + wait;
+  private void sendRequest(ClientRequest previous) {
+    ClientRequest request =
+        previous == null ? newRequest() : previous.retryAs("r" + ++requestCount);
+    long wait = request.timeoutNanos;
+    request.deadlineNanos = nowNanos + wait;
     requests.put(request.id, request);
     send(
         "JobIn",
@@ -279,29 +286,30 @@
             + "\","
             + request.fields
             + ",\"drop-dead-ns\":"
-            + request.deadline
-            + (request.retry ? ",\"retry\":true" : ""));
+            + request.deadlineNanos
+            + (request.isRetry ? ",\"retry\":true" : ""));
     if (random.nextDouble() < traffic.disconnectShare()) {
-      schedule(now + (long) (random.nextDouble() * wait / 16), () -> disconnect(request));
+      schedule(nowNanos + (long) (random.nextDouble() * wait / 16), () -> disconnect(request));
     }
     schedule(
-        request.deadline + settings.nested("contract").integer("answer-slack-ns"),
+        request.deadlineNanos + settings.nested("contract").integer("answer-slack-ns"),
         () -> disconnect(request));
   }
 
   private ClientRequest newRequest() {
     List<WireJson> classes = settings.objects("categories");
-    WireJson type = classes.get(random.nextInt(classes.size()));
+    WireJson requestClass = classes.get(random.nextInt(classes.size()));
     ClientRequest request = new ClientRequest("r" + ++requestCount);
-    request.stream = type.bool("stream");
-    request.patience = type.integer("deadline-ns");
-    if (random.nextDouble() < traffic.hurriedShare()) {
-      request.patience /= 8;
+    request.isStreaming = requestClass.bool("stream");
+    request.timeoutNanos = requestClass.integer("deadline-ns");
+    if (random.nextDouble() < traffic.shortDeadlineShare()) {
+      request.timeoutNanos /= 8;
     }
-    request.fields = "\"service\":\"" + type.text("name") + "\"" + tenant() + key();
-    if (traffic.hintNanos() > 0) {
-      request.work = random.nextInt(16) == 0 ? 8 : 0.5 + random.nextDouble();
-      request.fields += ",\"weight-hint-ns\":" + (long) (traffic.hintNanos() * request.work);
+    request.fields = "\"service\":\"" + requestClass.text("name") + "\"" + tenant() + affinityKey();
+    if (traffic.workHintNanos() > 0) {
+      request.workFactor = random.nextInt(16) == 0 ? 8 : 0.5 + random.nextDouble();
+      request.fields +=
+          ",\"weight-hint-ns\":" + (long) (traffic.workHintNanos() * request.workFactor);
     }
     return request;
   }
@@ -319,7 +327,7 @@
     return "";
   }
 
-  private String key() {
+  private String affinityKey() {
     double skew = random.nextDouble();
     return traffic.keys() == 0
         ? ""
@@ -327,40 +335,40 @@
   }
 
   private void disconnect(ClientRequest request) {
-    if (!request.ended && !request.streamed) {
-      request.ended = true;
+    if (!request.isEnded && !request.hasResponseStarted) {
+      request.isEnded = true;
       send("Aborted", "\"rid\":\"" + request.id + "\"");
     }
   }
 
   // Incidents
 
-  private void happen(Incident incident) {
+  private void startIncident(Incident incident) {
     switch (incident.kind()) {
       case CROWD -> crowd = 4;
       case CALM -> crowd = 1;
-      case FULL_LIST -> publishAll();
-      case LIST_FAILURE -> breakSubscription();
-      default -> affected(incident).forEach(e -> change(e, incident.kind()));
+      case FULL_LIST -> sendFullList();
+      case LIST_FAILURE -> failWatch();
+      default -> affectedEndpoints(incident).forEach(e -> applyIncident(e, incident.kind()));
     }
   }
 
-  private List<Endpoint> affected(Incident incident) {
-    return incident.endpoint() == Incident.ALL
+  private List<Endpoint> affectedEndpoints(Incident incident) {
+    return incident.endpoint() == Incident.ALL_ENDPOINTS
         ? List.copyOf(endpoints.values())
         : List.of(endpoint(incident.endpoint()));
   }
 
-  private void change(Endpoint endpoint, IncidentKind kind) {
+  private void applyIncident(Endpoint endpoint, IncidentKind kind) {
     switch (kind) {
       case RESTART -> {
-        endpoint.launched = now;
+        endpoint.startedNanos = nowNanos;
         endpoint.behaviour = IncidentKind.HEALTHY;
-        list(endpoint, "up");
+        updateState(endpoint, "up");
       }
-      case RETURN -> list(endpoint, "up");
-      case DRAIN -> list(endpoint, "draining");
-      case REMOVE -> list(endpoint, "removed");
+      case RETURN -> updateState(endpoint, "up");
+      case DRAIN -> updateState(endpoint, "draining");
+      case REMOVE -> updateState(endpoint, "removed");
       default -> endpoint.behaviour = kind;
     }
   }
@@ -377,50 +385,51 @@
         });
   }
 
-  private void list(Endpoint endpoint, String state) {
+  private void updateState(Endpoint endpoint, String state) {
     endpoint.state = state;
-    endpoint.listed = true;
-    if (subscribed) {
-      topology("D", List.of(endpoint));
+    endpoint.isListed = true;
+    if (isWatching) {
+      sendEndpointList("D", List.of(endpoint));
     } else {
-      unpublished.add(endpoint);
+      unpublishedChanges.add(endpoint);
     }
   }
 
-  private void publishAll() {
-    if (subscribed) {
-      topology("F", endpoints.values().stream().filter(e -> !e.state.equals("removed")).toList());
+  private void sendFullList() {
+    if (isWatching) {
+      sendEndpointList(
+          "F", endpoints.values().stream().filter(e -> !e.state.equals("removed")).toList());
     }
   }
 
-  private void breakSubscription() {
-    if (subscribed && "on_request".equals(settings.text("registry-mode"))) {
-      subscribed = false;
-      failingListCalls = 2;
+  private void failWatch() {
+    if (isWatching && "on_request".equals(settings.text("registry-mode"))) {
+      isWatching = false;
+      failingWatches = 2;
       send("Topology", "\"kind\":\"X\",\"stamp\":" + listVersion + ",\"entries\":[]");
     }
   }
 
-  private void answerListCall() {
-    if (failingListCalls > 0) {
-      failingListCalls--;
+  private void answerWatch() {
+    if (failingWatches > 0) {
+      failingWatches--;
       send("Topology", "\"kind\":\"X\",\"stamp\":" + listVersion + ",\"entries\":[]");
       return;
     }
-    subscribed = true;
-    if (listVersion == 2 || unpublished.size() > 2) {
-      publishAll();
+    isWatching = true;
+    if (listVersion == 2 || unpublishedChanges.size() > 2) {
+      sendFullList();
     } else {
-      topology("D", List.copyOf(unpublished));
+      sendEndpointList("D", List.copyOf(unpublishedChanges));
     }
-    unpublished.clear();
+    unpublishedChanges.clear();
   }
 
-  private void topology(String kind, Iterable<Endpoint> entries) {
+  private void sendEndpointList(String kind, Iterable<Endpoint> entries) {
     List<String> lines = new ArrayList<>();
     for (Endpoint endpoint : entries) {
-      if (endpoint.listed) {
-        lines.add(entry(endpoint));
+      if (endpoint.isListed) {
+        lines.add(listEntry(endpoint));
       }
     }
     send(
@@ -434,7 +443,7 @@
             + "]");
   }
 
-  private String entry(Endpoint endpoint) {
+  private String listEntry(Endpoint endpoint) {
     String weight =
         switch (settings.text("weight-kind")) {
           case "none" -> "1";
@@ -450,14 +459,14 @@
         + ",\"stage-state\":\""
         + endpoint.state
         + "\""
-        + (endpoint.launched > 0 ? ",\"launched-ns\":" + endpoint.launched : "")
+        + (endpoint.startedNanos > 0 ? ",\"launched-ns\":" + endpoint.startedNanos : "")
         + ",\"capacity-hint\":"
         + weight
         + "}";
   }
 
   /** Something that will happen. */
-  private record Pending(long at, long order, Runnable action) {}
+  private record ScheduledAction(long atNanos, long order, Runnable action) {}
 
   /** An endpoint of the model. */
   private static final class Endpoint {
@@ -469,9 +478,9 @@
     final double weight;
     String state = "up";
     IncidentKind behaviour = IncidentKind.HEALTHY;
-    long launched;
+    long startedNanos;
     int inFlight;
-    boolean listed;
+    boolean isListed;
 
     Endpoint(int number, int zones) {
       id = 11 + 7L * number;
@@ -486,25 +495,25 @@
     final String id;
     final List<Attempt> attempts = new ArrayList<>(1);
     String fields;
-    long patience;
-    long deadline;
-    double work = 1;
-    boolean stream;
-    boolean streamed;
-    boolean retry;
-    boolean ended;
+    long timeoutNanos;
+    long deadlineNanos;
+    double workFactor = 1;
+    boolean isStreaming;
+    boolean hasResponseStarted;
+    boolean isRetry;
+    boolean isEnded;
 
     ClientRequest(String id) {
       this.id = id;
     }
 
-    ClientRequest again(String newId) {
+    ClientRequest retryAs(String newId) {
       ClientRequest request = new ClientRequest(newId);
       request.fields = fields;
-      request.patience = patience;
-      request.work = work;
-      request.stream = stream;
-      request.retry = true;
+      request.timeoutNanos = timeoutNanos;
+      request.workFactor = workFactor;
+      request.isStreaming = isStreaming;
+      request.isRetry = true;
       return request;
     }
   }
@@ -514,15 +523,15 @@
     final ClientRequest request;
     final int number;
     final Endpoint endpoint;
-    final long sentAt;
-    boolean streaming;
-    boolean ended;
+    final long sentAtNanos;
+    boolean isStreaming;
+    boolean isEnded;
 
-    Attempt(ClientRequest request, int number, Endpoint endpoint, long sentAt) {
+    Attempt(ClientRequest request, int number, Endpoint endpoint, long sentAtNanos) {
       this.request = request;
       this.number = number;
       this.endpoint = endpoint;
-      this.sentAt = sentAt;
+      this.sentAtNanos = sentAtNanos;
     }
 
     String fields() {
--- a/src/test/java/loadbalancer/simulator/ScenarioSettings.java
+++ b/src/test/java/loadbalancer/simulator/ScenarioSettings.java
@@ -9,26 +9,27 @@
 
   private final List<String> classes = new ArrayList<>();
   private final List<String> tenants = new ArrayList<>();
-  private String listMode = "pushed";
+  private String discoveryMode = "pushed";
   private String weightKind = "none";
   private String contract = contract(0.2, 8000, 2);
   private int groupSize = 1;
-  private boolean warmKeys;
-  private boolean cancel = true;
-  private boolean secondCopies = true;
+  private boolean keyAffinity;
+  private boolean cancellation = true;
+  private boolean hedging = true;
   private boolean retryAfter = true;
 
   /** A class with its effect ("deduplicated zone 400" names the scope and window as well). */
-  ScenarioSettings type(String name, String effect, int aimMillis, int deadlineMillis, int gain) {
-    return type(name, effect, aimMillis, deadlineMillis, gain, false);
+  ScenarioSettings requestClass(
+      String name, String effect, int aimMillis, int deadlineMillis, int gain) {
+    return requestClass(name, effect, aimMillis, deadlineMillis, gain, false);
   }
 
   /** A class whose answers are streams. */
-  ScenarioSettings stream(String name, int aimMillis, int deadlineMillis, int gain) {
-    return type(name, "idempotent", aimMillis, deadlineMillis, gain, true);
+  ScenarioSettings streamingClass(String name, int aimMillis, int deadlineMillis, int gain) {
+    return requestClass(name, "idempotent", aimMillis, deadlineMillis, gain, true);
   }
 
-  private ScenarioSettings type(
+  private ScenarioSettings requestClass(
       String name, String effect, int aimMillis, int deadlineMillis, int gain, boolean stream) {
     String[] words = effect.split(" ", 0);
     classes.add(
@@ -64,23 +65,23 @@
     return this;
   }
 
-  ScenarioSettings polledList() {
-    listMode = "on_request";
+  ScenarioSettings polledDiscovery() {
+    discoveryMode = "on_request";
     return this;
   }
 
-  ScenarioSettings weights(String kind) {
+  ScenarioSettings weightKind(String kind) {
     weightKind = kind;
     return this;
   }
 
-  ScenarioSettings groupOf(int instances) {
+  ScenarioSettings groupSize(int instances) {
     groupSize = instances;
     return this;
   }
 
-  ScenarioSettings warmKeys() {
-    warmKeys = true;
+  ScenarioSettings keyAffinity() {
+    keyAffinity = true;
     return this;
   }
 
@@ -90,8 +91,8 @@
   }
 
   ScenarioSettings withoutHedges() {
-    cancel = false;
-    secondCopies = false;
+    cancellation = false;
+    hedging = false;
     return this;
   }
 
@@ -111,27 +112,27 @@
         fallMultiple);
   }
 
-  String json() {
+  String toJson() {
     return "{\"categories\":["
         + String.join(",", classes)
         + "],\"contract\":"
         + contract
         + ",\"domain\":{\"warm-keys\":"
-        + warmKeys
+        + keyAffinity
         + "},\"group-size\":"
         + groupSize
         + ",\"limits\":{\"cancel\":"
-        + cancel
+        + cancellation
         + ",\"max-attempts\":4,\"most-held\":300,"
         + "\"retry-after\":"
         + retryAfter
         + ",\"max-retry-after-ns\":2500000000,"
         + "\"second-copies\":"
-        + secondCopies
+        + hedging
         + "},\"me\":0,\"over-share-worth\":0.05"
         + (tenants.isEmpty() ? "" : ",\"projects\":[" + String.join(",", tenants) + "]")
         + ",\"registry-mode\":\""
-        + listMode
+        + discoveryMode
         + "\",\"resolution-ns\":30000000,\"weight-kind\":\""
         + weightKind
         + "\",\"zone\":\"a\"}";
--- a/src/test/java/loadbalancer/simulator/SimulatorAdapterTest.java
+++ b/src/test/java/loadbalancer/simulator/SimulatorAdapterTest.java
@@ -43,7 +43,7 @@
           + "\"upstream\":7,\"region-part\":\"\",\"stage-state\":\"up\","
           + "\"capacity-hint\":1}]}}]}]}";
 
-  private static String talk(String... lines) throws IOException {
+  private static String exchange(String... lines) throws IOException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     String text = String.join("\n", lines) + "\n";
     new SimulatorAdapter(new ByteArrayInputStream(text.getBytes(StandardCharsets.UTF_8)), out)
@@ -59,7 +59,7 @@
     return "{\"groups\":[{\"balancer\":3,\"actions\":[" + actions + "]}]}\n";
   }
 
-  private static final String JOB =
+  private static final String REQUEST_ARRIVED =
       "{\"JobIn\":{\"rid\":\"c:a\",\"service\":\"c\",\"user-group\":0,"
           + "\"object\":\"91f03b7c55d20a64\",\"drop-dead-ns\":2500000000,"
           + "\"weight-hint-ns\":null,\"retry\":false,"
@@ -67,7 +67,7 @@
 
   @Test
   void repliesToAnEmptyBatchWithNoGroups() throws IOException {
-    assertEquals("{\"groups\":[]}\n", talk("{\"clock-ns\":1,\"groups\":[]}"));
+    assertEquals("{\"groups\":[]}\n", exchange("{\"clock-ns\":1,\"groups\":[]}"));
   }
 
   @Test
@@ -85,9 +85,9 @@
             + reply("");
     assertEquals(
         expected,
-        talk(
+        exchange(
             PROVISION,
-            batch(1_100_000_000L, JOB),
+            batch(1_100_000_000L, REQUEST_ARRIVED),
             batch(1_150_000_000L, "{\"Fired\":{\"handle\":\"sweep\"}}"),
             batch(
                 1_152_000_000L,
@@ -140,9 +140,11 @@
   @Test
   void reportsAnExceptionOfTheEngineAsAFault() throws IOException {
     String out =
-        talk(
+        exchange(
             PROVISION,
-            batch(1_100_000_000L, JOB.replace("\"service\":\"c\"", "\"service\":\"nope\"")));
+            batch(
+                1_100_000_000L,
+                REQUEST_ARRIVED.replace("\"service\":\"c\"", "\"service\":\"nope\"")));
     assertTrue(
         out.contains(
             "{\"Fault\":{\"note-text\":\"java.lang.IllegalArgumentException: request of unknown"
@@ -172,20 +174,20 @@
       })
   void rejectsMalformedInputWithItsLineAndField(String line, String message) {
     MalformedInputException exception =
-        assertThrows(MalformedInputException.class, () -> talk(PROVISION, line));
+        assertThrows(MalformedInputException.class, () -> exchange(PROVISION, line));
     assertTrue(exception.getMessage().startsWith("line 2: "), exception.getMessage());
     assertTrue(exception.getMessage().contains(message), exception.getMessage());
   }
 
   @Test
-  void rejectsSettingsThatMakeNoSenseByName() {
+  void rejectsInvalidSettingsByName() {
     MalformedInputException none =
-        assertThrows(MalformedInputException.class, () -> talk(PROVISION.replace(CLASS, "")));
+        assertThrows(MalformedInputException.class, () -> exchange(PROVISION.replace(CLASS, "")));
     assertEquals("line 1: settings: classes must not be empty", none.getMessage());
     MalformedInputException negative =
         assertThrows(
             MalformedInputException.class,
-            () -> talk(PROVISION.replace("\"aim-ns\":400000000", "\"aim-ns\":-4")));
+            () -> exchange(PROVISION.replace("\"aim-ns\":400000000", "\"aim-ns\":-4")));
     assertEquals("line 1: settings: aim of class c must be above 0", negative.getMessage());
   }
 }
--- a/src/test/java/loadbalancer/telemetry/LogValuesTest.java
+++ b/src/test/java/loadbalancer/telemetry/LogValuesTest.java
@@ -13,7 +13,7 @@
 
   /** A client chooses its trace ids: none may look like another key, or like another line. */
   @Test
-  void quotesWhatCouldBreakALine() {
+  void quotesTextsThatCouldBreakALine() {
     assertEquals("\"\"", LogValues.quoteIfNeeded(""));
     assertEquals("\"a status=200\"", LogValues.quoteIfNeeded("a status=200"));
     assertEquals("\"a\\\"b\\\\c\"", LogValues.quoteIfNeeded("a\"b\\c"));
--- a/src/test/java/loadbalancer/telemetry/RequestTraceTest.java
+++ b/src/test/java/loadbalancer/telemetry/RequestTraceTest.java
@@ -95,7 +95,7 @@
   }
 
   @Test
-  void logsALateAndALaterRejectedRequestOnLinesOfTheirOwn() {
+  void logsLateAndQueuedRequestsOnLinesOfTheirOwn() {
     trace.responded(accepted("late", 0), HttpResponseStatus.OK, 401 * MS);
     trace.responded(accepted("queued", 0), HttpResponseStatus.TOO_MANY_REQUESTS, 2 * MS);
     assertEquals(
@@ -106,7 +106,7 @@
   }
 
   @Test
-  void onlyCountsWhatWasServedInTimeOrRejectedAtOnce() {
+  void onlyCountsRequestsServedInTimeOrRejectedAtOnce() {
     trace.attemptEnded(AttemptStatus.SUCCESS);
     trace.attemptEnded(AttemptStatus.REJECTED);
     trace.timerFired(3 * MS);
@@ -122,7 +122,7 @@
 
   /** On a day when everything fails the log takes no more of the core than on any other. */
   @Test
-  void boundsTheLinesOfABadSecond() {
+  void boundsTheLinesIfAllRequestsFail() {
     for (int i = 0; i < 1000; i++) {
       trace.responded(accepted("t" + i, 0), HttpResponseStatus.BAD_GATEWAY, 100 * MS);
     }
