--- a/src/main/java/loadbalancer/telemetry/AttemptRefusal.java
+++ b/src/main/java/loadbalancer/telemetry/AttemptRefusal.java
@@ -1,13 +1,13 @@
 package loadbalancer.telemetry;
 
-/** Why an attempt that was decided has not been written. */
+/** The reason why an attempt that the decision engine started was not written to a connection. */
 public enum AttemptRefusal {
-  /** The client has left, or has its response. */
+  /** The client no longer waits for a response, or already has its final one. */
   CLIENT_GONE,
-  /** The endpoint drains or is gone. */
+  /** The endpoint is draining or gone. */
   ENDPOINT_NOT_READY,
-  /** The request's time, or its dedup window, is over. */
+  /** The attempt's deadline or the dedup window of an earlier attempt has passed. */
   TIME_OVER,
-  /** The request may have run, and must not run twice. */
+  /** The request is not idempotent, and another attempt may have run it. */
   WOULD_RUN_TWICE
 }
--- a/src/main/java/loadbalancer/telemetry/BackgroundLogHandler.java
+++ b/src/main/java/loadbalancer/telemetry/BackgroundLogHandler.java
@@ -12,15 +12,19 @@
 import java.util.logging.SimpleFormatter;
 
 /**
- * Writes log lines on a thread of its own. Whoever reads the log may be slow, or not read at all;
- * the event loop must not wait for that. Lines that find the queue full are dropped and counted.
+ * Writes log lines on a separate thread, because the reader of the log may be slow or absent and
+ * the event loop must not block on it. Lines that do not fit into the queue are dropped and
+ * counted.
  */
 public final class BackgroundLogHandler extends Handler {
 
-  /** At some lines a second, minutes of them; little against the smallest memory limit. */
+  /**
+   * The capacity of the queue. It holds minutes of log at a few lines a second, and little memory
+   * even under the smallest memory limit.
+   */
   private static final int MAX_QUEUED_LINES = 1024;
 
-  /** How long the end of the process waits for lines to be written. */
+  /** The longest time for which the process waits at its end for queued lines to be written. */
   private static final long MAX_FLUSH_MILLIS = 200;
 
   private static final long FLUSH_CHECK_MILLIS = 2;
@@ -29,10 +33,10 @@
   private final BlockingQueue<String> lines = new ArrayBlockingQueue<>(MAX_QUEUED_LINES);
   private final AtomicLong dropped = new AtomicLong();
 
-  /** Lines that have been accepted and not been written. */
+  /** The number of lines that have been accepted and not yet written. */
   private final AtomicLong pending = new AtomicLong();
 
-  /** Starts the thread, which does not keep the process alive. */
+  /** Creates a handler and starts its writer thread, which does not keep the process alive. */
   BackgroundLogHandler(PrintStream out) {
     this.out = out;
     setFormatter(new SimpleFormatter());
@@ -41,13 +45,13 @@
     writer.start();
   }
 
-  /** Makes such a handler the only one of the process. */
+  /** Replaces all log handlers of the process by one that writes to a stream. */
   public static void install(PrintStream out) {
     LogManager.getLogManager().reset();
     Logger.getLogger("").addHandler(new BackgroundLogHandler(out));
   }
 
-  /** Waits a moment for the lines so far, before the process ends at once. */
+  /** Waits briefly for the lines logged so far to be written, before the process is halted. */
   public static void flushAll() {
     for (Handler handler : Logger.getLogger("").getHandlers()) {
       handler.flush();
@@ -70,9 +74,9 @@
     try {
       while (true) {
         out.print(lines.take());
-        long missing = dropped.getAndSet(0);
-        if (missing > 0) {
-          out.println("log_lines_dropped count=" + missing);
+        long droppedCount = dropped.getAndSet(0);
+        if (droppedCount > 0) {
+          out.println("log_lines_dropped count=" + droppedCount);
         }
         pending.decrementAndGet();
       }
@@ -83,9 +87,9 @@
 
   @Override
   public void flush() {
-    long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MAX_FLUSH_MILLIS);
+    long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MAX_FLUSH_MILLIS);
     try {
-      while (pending.get() > 0 && System.nanoTime() < until) {
+      while (pending.get() > 0 && System.nanoTime() < deadlineNanos) {
         TimeUnit.MILLISECONDS.sleep(FLUSH_CHECK_MILLIS);
       }
     } catch (InterruptedException e) {
--- a/src/main/java/loadbalancer/telemetry/EventLoopLagMonitor.java
+++ b/src/main/java/loadbalancer/telemetry/EventLoopLagMonitor.java
@@ -5,9 +5,9 @@
 import loadbalancer.net.MonotonicClock;
 
 /**
- * Measures for how long a request that is read now may have lain unread because the event loop was
- * held up. A client's time runs from its request's last byte, whenever that is read, and a response
- * that comes half a second late is lost. Confined to the event loop.
+ * Measures the lag of the event loop, which is how long a request that is read now may have waited
+ * unread in its socket. A client's time-out runs from the last byte of its request, whenever that
+ * byte is read, and a response that arrives half a second late is lost. Confined to the event loop.
  */
 public final class EventLoopLagMonitor {
 
@@ -20,8 +20,8 @@
   private boolean isTickLate;
 
   /**
-   * Starts to tick on the event loop, which has read its sockets shortly before each tick that is
-   * in time.
+   * Starts a periodic tick on the event loop, which reads its sockets shortly before each tick that
+   * is on time.
    */
   public EventLoopLagMonitor(EventLoop loop, MonotonicClock clock) {
     this.loop = loop;
@@ -31,8 +31,8 @@
   }
 
   private void tick() {
-    // A late tick counts from the next turn on only: in this one the sockets may not have been read
-    // since.
+    // A late tick is recorded only in the loop's next iteration: in this one the sockets may not
+    // have been read since the delay.
     isTickLate = !isTickLate && clock.nowNanos() - lastTickNanos > 2 * PERIOD_NANOS;
     if (!isTickLate) {
       lastTickNanos = clock.nowNanos();
@@ -41,7 +41,8 @@
   }
 
   /**
-   * How long ago the event loop should have read its sockets and did not; 0 where it is in time.
+   * Returns for how long the event loop's next tick, and with it the reading of its sockets, has
+   * been overdue; 0 while the loop is on time.
    */
   public long lagNanos() {
     return Math.max(0, clock.nowNanos() - lastTickNanos - PERIOD_NANOS);
--- a/src/main/java/loadbalancer/telemetry/LogValues.java
+++ b/src/main/java/loadbalancer/telemetry/LogValues.java
@@ -1,22 +1,22 @@
 package loadbalancer.telemetry;
 
-/** Writes texts as values of log lines. */
+/** Formats texts as values of log lines. */
 public final class LogValues {
 
   private static final String HEX_DIGITS = "0123456789abcdef";
 
   private LogValues() {}
 
-  /** A text as it is where it is one plain word, else {@linkplain #quote quoted}. */
+  /** Returns a text unchanged if it is one plain word, and {@linkplain #quote quoted} otherwise. */
   public static String quoteIfNeeded(String text) {
     for (int i = 0; i < text.length(); i++) {
-      char next = text.charAt(i);
-      if (next <= ' '
-          || next == '"'
-          || next == '\\'
-          || next == '='
-          || next == ','
-          || isControl(next)) {
+      char character = text.charAt(i);
+      if (character <= ' '
+          || character == '"'
+          || character == '\\'
+          || character == '='
+          || character == ','
+          || isControl(character)) {
         return quote(text);
       }
     }
@@ -24,29 +24,32 @@
   }
 
   /**
-   * A text in double quotes, on one line: quotes and backslashes are escaped, control characters as
-   * in JSON.
+   * Returns a text in double quotes on one line. Quotes and backslashes are escaped by a backslash,
+   * control characters as in JSON.
    */
   public static String quote(String text) {
     StringBuilder quoted = new StringBuilder(text.length() + 2).append('"');
     for (int i = 0; i < text.length(); i++) {
-      char next = text.charAt(i);
-      if (next == '"' || next == '\\') {
-        quoted.append('\\').append(next);
-      } else if (isControl(next)) {
+      char character = text.charAt(i);
+      if (character == '"' || character == '\\') {
+        quoted.append('\\').append(character);
+      } else if (isControl(character)) {
         quoted
             .append("\\u00")
-            .append(HEX_DIGITS.charAt(next >> 4))
-            .append(HEX_DIGITS.charAt(next & 15));
+            .append(HEX_DIGITS.charAt(character >> 4))
+            .append(HEX_DIGITS.charAt(character & 15));
       } else {
-        quoted.append(next);
+        quoted.append(character);
       }
     }
     return quoted.append('"').toString();
   }
 
-  /** Whether a character of the first 256 could break or disguise a line. */
-  private static boolean isControl(char next) {
-    return next < ' ' || (next >= 0x7f && next < 0xa0);
+  /**
+   * Returns whether a character is a control character of Latin-1, which could break or disguise a
+   * log line.
+   */
+  private static boolean isControl(char character) {
+    return character < ' ' || (character >= 0x7f && character < 0xa0);
   }
 }
--- a/src/main/java/loadbalancer/telemetry/RequestTrace.java
+++ b/src/main/java/loadbalancer/telemetry/RequestTrace.java
@@ -10,10 +10,10 @@
 import loadbalancer.decision.api.AttemptStatus;
 
 /**
- * Logs a {@code summary} line for each second in which a request got its final response, and {@code
- * request} lines for some of the requests that were served late, rejected after a wait, or failed.
- * The number of lines is bounded: on a bad day they would else take the core that the requests
- * need. Confined to the event loop.
+ * Logs a {@code summary} line about once a second while requests get their final responses, and
+ * {@code request} lines for some of the requests that were served late, rejected after a wait, or
+ * failed. The number of lines is bounded, because during an overload unbounded logging would take
+ * the CPU time that the requests need. Confined to the event loop.
  */
 public final class RequestTrace {
 
@@ -21,10 +21,13 @@
 
   private static final long PERIOD_NANOS = TimeUnit.SECONDS.toNanos(1);
 
-  /** Request lines a period; the summary counts all requests. */
+  /** The limit on {@code request} lines in a period; the summary counts all requests. */
   private static final int MAX_REQUEST_LINES = 5;
 
-  /** A rejection within this time came at once; a later one was queued or attempted before. */
+  /**
+   * The time within which a rejection counts as immediate. Requests that are rejected later were
+   * queued or attempted before.
+   */
   private static final long MAX_AT_ONCE_NANOS = TimeUnit.MILLISECONDS.toNanos(2);
 
   private static final int INITIAL_LINE_CAPACITY = 200;
@@ -45,33 +48,33 @@
   private long maxLagNanos;
 
   /**
-   * Starts without a period; the first one starts with the first response.
+   * Creates a trace whose first period starts with the first final response.
    *
-   * @param endpointNames gives the name of an endpoint by its id
+   * @param endpointNames returns the name of the endpoint with a given id
    */
   public RequestTrace(LongFunction<String> endpointNames) {
     this.endpointNames = endpointNames;
   }
 
-  /** Counts an attempt that has ended. */
+  /** Counts an attempt by the status with which it ended. */
   public void attemptEnded(AttemptStatus status) {
     attempts[status.ordinal()]++;
   }
 
-  /** Counts an attempt that was decided and has not been written. */
+  /** Counts an attempt that the decision engine started but that was not written, by the reason. */
   public void attemptRefused(AttemptRefusal refusal) {
     refusals[refusal.ordinal()]++;
   }
 
   /**
-   * Records how long after its due time one of the decision engine's timers fired: so far the event
-   * loop lags.
+   * Records how late one of the decision engine's timers fired, which is a sample of the event
+   * loop's lag.
    */
   public void timerFired(long lateNanos) {
     maxLagNanos = Math.max(maxLagNanos, lateNanos);
   }
 
-  /** Records that a request got its final response, and logs what is due. */
+  /** Records that a request got its final response, and logs the lines that are due. */
   public void responded(TracedRequest request, HttpResponseStatus status, long nowNanos) {
     if (count(request, status, nowNanos) && requestLines++ < MAX_REQUEST_LINES) {
       logRequest(request, status, nowNanos);
@@ -85,7 +88,7 @@
     }
   }
 
-  /** Counts a response; returns whether the request is one for a line of its own. */
+  /** Counts a response and returns whether its request qualifies for a {@code request} line. */
   private boolean count(TracedRequest request, HttpResponseStatus status, long nowNanos) {
     long duration = nowNanos - request.acceptedAtNanos();
     if (status.equals(HttpResponseStatus.OK)) {
@@ -122,9 +125,9 @@
     log(line.append(" max_loop_lag_ms=").append(millis(maxLagNanos)));
   }
 
-  private static void appendCount(StringBuilder line, String prefix, Enum<?> what, int count) {
+  private static void appendCount(StringBuilder line, String prefix, Enum<?> kind, int count) {
     if (count > 0) {
-      line.append(prefix).append(what.name().toLowerCase(Locale.ROOT)).append('=').append(count);
+      line.append(prefix).append(kind.name().toLowerCase(Locale.ROOT)).append('=').append(count);
     }
   }
 
@@ -170,7 +173,9 @@
     }
   }
 
-  /** Names the source, or the logger would walk the stack to find it. */
+  /**
+   * Logs a line with an explicit source, without which the logger would walk the stack to find it.
+   */
   private static void log(StringBuilder line) {
     LOG.logp(Level.INFO, "RequestTrace", "log", line.toString());
   }
--- a/src/main/java/loadbalancer/telemetry/TracedAttempt.java
+++ b/src/main/java/loadbalancer/telemetry/TracedAttempt.java
@@ -2,18 +2,20 @@
 
 import loadbalancer.decision.api.AttemptStatus;
 
-/** What the log says of one attempt of a request. Clock readings and durations are nanoseconds. */
+/**
+ * The properties of an attempt that are logged. Clock readings and durations are in nanoseconds.
+ */
 public interface TracedAttempt {
 
-  /** The endpoint that it went to. */
+  /** Returns the id of the attempt's endpoint. */
   long endpointId();
 
-  /** Clock reading at which the attempt was started. */
+  /** Returns the clock reading at which the attempt was started. */
   long startedAtNanos();
 
-  /** How it ended; null while it is in flight. */
+  /** Returns how the attempt ended; null while it is in flight. */
   AttemptStatus status();
 
-  /** Time from its start to its end; undefined while it is in flight. */
+  /** Returns the time from the attempt's start to its end; undefined while it is in flight. */
   long latencyNanos();
 }
--- a/src/main/java/loadbalancer/telemetry/TracedRequest.java
+++ b/src/main/java/loadbalancer/telemetry/TracedRequest.java
@@ -3,24 +3,30 @@
 import java.util.List;
 import loadbalancer.decision.api.RequestClass;
 
-/** What the log says of a request. Clock readings and durations are nanoseconds. */
+/** The properties of a request that are logged. Clock readings and durations are in nanoseconds. */
 public interface TracedRequest {
 
-  /** The client's id of the request. */
+  /** Returns the id that the client gave the request. */
   String traceId();
 
-  /** The request's class, which states its latency objective. */
+  /** Returns the request's class, which defines its latency objective. */
   RequestClass requestClass();
 
-  /** Clock reading at which the proxy accepted the request. */
+  /** Returns the clock reading at which the proxy accepted the request. */
   long acceptedAtNanos();
 
-  /** Clock reading at which the client gives up, less the way back to it. */
+  /**
+   * Returns the clock reading at which the client gives up, less the time that a response takes to
+   * reach it.
+   */
   long deadlineNanos();
 
-  /** How long it may have lain unread because the event loop lagged. */
+  /**
+   * Returns how long the request may have waited unread because the event loop lagged, or behind
+   * other requests that were pipelined on its connection.
+   */
   long unreadNanos();
 
-  /** All attempts in starting order. */
+  /** Returns all attempts in the order in which they were started. */
   List<? extends TracedAttempt> attempts();
 }
--- a/src/test/java/loadbalancer/telemetry/LogValuesTest.java
+++ b/src/test/java/loadbalancer/telemetry/LogValuesTest.java
@@ -11,7 +11,10 @@
     assertEquals("f3a-9_x.7:1/é", LogValues.quoteIfNeeded("f3a-9_x.7:1/é"));
   }
 
-  /** A client chooses its trace ids: none may look like another key, or like another line. */
+  /**
+   * Clients choose their trace ids, so a trace id must not be able to look like another key or
+   * another line.
+   */
   @Test
   void quotesTextsThatCouldBreakALine() {
     assertEquals("\"\"", LogValues.quoteIfNeeded(""));
--- a/src/test/java/loadbalancer/telemetry/RequestTraceTest.java
+++ b/src/test/java/loadbalancer/telemetry/RequestTraceTest.java
@@ -120,7 +120,10 @@
         lines);
   }
 
-  /** On a day when everything fails the log takes no more of the core than on any other. */
+  /**
+   * Guards against log output that grows with the number of failures and takes the CPU time that
+   * requests need.
+   */
   @Test
   void boundsTheLinesIfAllRequestsFail() {
     for (int i = 0; i < 1000; i++) {
