--- a/src/main/java/loadbalancer/http/package-info.java
+++ b/src/main/java/loadbalancer/http/package-info.java
@@ -1,2 +1,2 @@
-/** The HTTP vocabulary that clients, this proxy and upstreams share. */
+/** The HTTP paths, headers and limits that clients, this proxy and upstreams share. */
 package loadbalancer.http;
--- a/src/main/java/loadbalancer/net/ConnectFailures.java
+++ b/src/main/java/loadbalancer/net/ConnectFailures.java
@@ -3,15 +3,15 @@
 import java.net.ConnectException;
 import java.net.NoRouteToHostException;
 
-/** Tells whose failure it is that a connection was not established. */
+/** Classifies failures to connect by the side that caused them. */
 public final class ConnectFailures {
 
   private ConnectFailures() {}
 
   /**
-   * Whether it is this machine's: no descriptor, port, buffer or route for a moment. The other side
-   * has not been asked. Refused connections, those that time out and unreachable hosts are the
-   * other side's.
+   * Returns whether the failure is local: this machine temporarily lacked a descriptor, port,
+   * buffer or route, and the remote side was not contacted. Refused connections, connect time-outs
+   * and unreachable hosts are failures of the remote side.
    */
   public static boolean isLocal(Throwable cause) {
     return !(cause instanceof ConnectException || cause instanceof NoRouteToHostException);
--- a/src/main/java/loadbalancer/net/DescriptorBudget.java
+++ b/src/main/java/loadbalancer/net/DescriptorBudget.java
@@ -3,27 +3,30 @@
 import io.netty.channel.Channel;
 
 /**
- * Divides the file descriptors of the process. The process's own and a spare part are set aside;
- * the rest is shared by connections of clients, up to {@link #maxClientConnections()}, and
- * connections to upstreams. Both are counted by {@link #register}; listeners, discovery and gossip
- * are not, they are part of what is set aside. Confined to the event loop.
+ * Divides the file descriptors of the process. Some are reserved for the process itself and some
+ * are kept spare; the rest is shared by client connections, up to {@link #maxClientConnections()},
+ * and upstream connections. Both kinds of connections are counted by {@link #register}. Listeners,
+ * discovery and gossip use reserved descriptors and are not counted. Confined to the event loop.
  */
 public final class DescriptorBudget {
 
   /**
-   * Descriptors of the process itself: jar, standard streams, selector, listeners, gossip, and
-   * discovery before and after a reload.
+   * Descriptors reserved for the process itself: jar, standard streams, selector, listeners,
+   * gossip, and discovery before and after a reload.
    */
   private static final int PROCESS_DESCRIPTORS = 24;
 
   /**
-   * Descriptors that stay free. Up to 16 connections are accepted before any is closed in exchange,
-   * and a closed one keeps its descriptor until the selector has run again. Without a free one the
-   * acceptor would pause for a second.
+   * Descriptors that are kept spare. Up to 16 connections are accepted before one is closed in
+   * exchange, and a closed connection keeps its descriptor until the selector has run again.
+   * Without a free descriptor the acceptor would pause for a second.
    */
   private static final int SPARE_DESCRIPTORS = 32;
 
-  /** The clients' part of the shared descriptors: each request needs one more for its upstream. */
+  /**
+   * The share of the connections that clients may have: each request needs one more connection to
+   * its upstream.
+   */
   private static final double CLIENT_SHARE = 0.5;
 
   private final int maxDescriptors;
@@ -33,14 +36,14 @@
   /**
    * Creates a budget.
    *
-   * @param maxDescriptors how many descriptors the process may have open
+   * @param maxDescriptors the number of descriptors that the process may have open
    */
   public DescriptorBudget(int maxDescriptors) {
     this.maxDescriptors = maxDescriptors;
     maxConnections = maxDescriptors - PROCESS_DESCRIPTORS - SPARE_DESCRIPTORS;
   }
 
-  /** Counts a connection until it is closed. */
+  /** Counts a connection as open until it is closed. */
   public void register(Channel channel) {
     openConnections++;
     channel.closeFuture().addListener(future -> openConnections--);
@@ -56,9 +59,7 @@
     return openConnections > maxDescriptors - PROCESS_DESCRIPTORS - SPARE_DESCRIPTORS / 2;
   }
 
-  /**
-   * Returns the number of client connections from which on an idle one is closed for each new one.
-   */
+  /** Returns the number of client connections at which an idle one is closed for each new one. */
   public int maxClientConnections() {
     return (int) (maxConnections * CLIENT_SHARE);
   }
--- a/src/main/java/loadbalancer/net/ForwardingIoHandler.java
+++ b/src/main/java/loadbalancer/net/ForwardingIoHandler.java
@@ -5,7 +5,7 @@
 import io.netty.channel.IoHandlerContext;
 import io.netty.channel.IoRegistration;
 
-/** An I/O handler that leaves all work to another one; subclasses override what they change. */
+/** An I/O handler that delegates to another one; subclasses override individual methods. */
 abstract class ForwardingIoHandler implements IoHandler {
 
   private final IoHandler delegate;
--- a/src/main/java/loadbalancer/net/MonotonicClock.java
+++ b/src/main/java/loadbalancer/net/MonotonicClock.java
@@ -3,15 +3,15 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The clock of one proxy instance, in nanoseconds. It never goes backwards, whatever happens to the
- * wall clock, and its origin lies before the process's start so that endpoints older than the
- * process have a time on it too.
+ * The clock of one proxy instance, in nanoseconds. It never goes backwards, even if the wall clock
+ * is set back. Its origin lies before the start of the process, so that the start times of
+ * endpoints older than the process can be expressed on it.
  */
 public final class MonotonicClock {
 
   /**
-   * The reading at the start of the process. An endpoint that has been up for longer counts as up
-   * for this long: no decision depends on the difference.
+   * The clock reading at the start of the process. An endpoint that started before the origin is
+   * treated as started at the origin; no decision depends on the difference.
    */
   private static final long START_READING_NANOS = TimeUnit.DAYS.toNanos(1);
 
--- a/src/main/java/loadbalancer/net/RoundingIoHandler.java
+++ b/src/main/java/loadbalancer/net/RoundingIoHandler.java
@@ -8,9 +8,9 @@
 
 /**
  * An I/O handler that rounds the selector's timeout up to whole milliseconds. The selector waits in
- * whole milliseconds, and Netty's handler rounds to the nearest: with less than half of one left it
- * polls the sockets again and again until the timer is due, which wastes the fraction of a core
- * that a proxy has. In exchange a timer fires up to a millisecond late.
+ * whole milliseconds, and Netty's handler rounds to the nearest: with less than half a millisecond
+ * left it polls the sockets repeatedly until the timer is due, which wastes CPU time that a proxy
+ * on a fraction of a core needs. In exchange timers fire up to a millisecond late.
  */
 public final class RoundingIoHandler extends ForwardingIoHandler {
 
@@ -22,12 +22,12 @@
     super(delegate);
   }
 
-  /** Returns a factory of such handlers around NIO selectors. */
+  /** Returns a factory of rounding handlers for NIO selectors. */
   public static IoHandlerFactory newFactory() {
     return wrap(NioIoHandler.newFactory());
   }
 
-  /** Returns a factory of such handlers around those of another factory. */
+  /** Returns a factory that wraps the handlers of another factory in rounding handlers. */
   public static IoHandlerFactory wrap(IoHandlerFactory factory) {
     return executor -> new RoundingIoHandler(factory.newHandler(executor));
   }
@@ -40,7 +40,7 @@
     return super.run(context);
   }
 
-  /** The event loop's context with the time to the next timer rounded up. */
+  /** The event loop's context with the delay until the next timer rounded up. */
   private record RoundingContext(IoHandlerContext delegate) implements IoHandlerContext {
 
     @Override
--- a/src/main/java/loadbalancer/net/SocketAddresses.java
+++ b/src/main/java/loadbalancer/net/SocketAddresses.java
@@ -6,7 +6,7 @@
 import java.net.InetSocketAddress;
 import loadbalancer.json.MalformedInputException;
 
-/** Parses socket addresses. */
+/** Parses numeric socket addresses. */
 public final class SocketAddresses {
 
   private SocketAddresses() {}
@@ -15,9 +15,10 @@
    * Parses a numeric address such as 10.0.0.4:8000 or [::1]:8000. Names are not resolved: there is
    * no DNS where the proxy runs, and a lookup would block the event loop.
    *
-   * @param field what the error message calls the address
+   * @param field the name of the address in error messages
    * @param text the address
-   * @throws MalformedInputException if the text is no such address, naming the field and the text
+   * @throws MalformedInputException if the text is not a numeric address with a port; the message
+   *     names the field and the text
    */
   public static InetSocketAddress parse(String field, String text) {
     int colon = text.lastIndexOf(':');
@@ -29,7 +30,7 @@
           return new InetSocketAddress(InetAddress.getByAddress(host), port);
         }
       } catch (IOException | IllegalArgumentException e) {
-        // A port that is no number or out of range is reported below, like an address without one.
+        // A port that is not a number or out of range is reported below, like a missing one.
       }
     }
     throw new MalformedInputException(
--- a/src/main/java/loadbalancer/net/package-info.java
+++ b/src/main/java/loadbalancer/net/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Small pieces of network plumbing that do not know what the program proxies: socket addresses, the
- * monotonic clock, the budget of file descriptors, and how the event loop waits and reads.
+ * Network utilities that do not depend on what the program proxies: socket addresses, the monotonic
+ * clock, the budget of file descriptors, and extensions of the event loop and its channels.
  */
 package loadbalancer.net;
--- a/src/test/java/loadbalancer/net/RoundingIoHandlerTest.java
+++ b/src/test/java/loadbalancer/net/RoundingIoHandlerTest.java
@@ -12,12 +12,12 @@
 import loadbalancer.testing.ProxyFixture;
 import org.junit.jupiter.api.Test;
 
-/** How the event loop waits. */
+/** Checks that the event loop sleeps until its next timer instead of polling. */
 class RoundingIoHandlerTest {
 
   private static final int TIMERS = 200;
 
-  /** One iteration that waits, one that finds the timer due, and some margin. */
+  /** One iteration that waits, one that runs the timer, and some margin. */
   private static final int ITERATIONS_PER_TIMER = 6;
 
   /** Counts the iterations of an event loop. */
@@ -37,7 +37,10 @@
     }
   }
 
-  /** A loop that polls through the last half of a millisecond makes hundreds of iterations each. */
+  /**
+   * Polling through the last half millisecond before a timer takes hundreds of iterations for each
+   * timer.
+   */
   @Test
   void sleepsUntilTimerIsDue() throws Exception {
     AtomicInteger iterations = new AtomicInteger();
@@ -49,7 +52,7 @@
                     RoundingIoHandler.newFactory().newHandler(executor), iterations));
     try {
       CountDownLatch fired = new CountDownLatch(TIMERS);
-      // One after the other, at no whole number of milliseconds.
+      // Each timer schedules the next one after a delay that is not a whole number of milliseconds.
       Runnable timer =
           new Runnable() {
             @Override
