--- a/src/main/java/loadbalancer/config/BalancerConfig.java
+++ b/src/main/java/loadbalancer/config/BalancerConfig.java
@@ -13,19 +13,22 @@
 /**
  * The configuration of one load balancer instance.
  *
- * @param name what the instance is called in its log
- * @param listenAddress where clients connect
- * @param discoveryAddress where the endpoint list comes from; the only part that a reload changes
+ * @param name the name of the instance in its log
+ * @param listenAddress the address on which the instance accepts clients
+ * @param discoveryAddress the address of the discovery agent, which provides the endpoint list; the
+ *     only component that a reload changes
  * @param seed the seed of all random choices
- * @param maxDescriptors descriptors that the process may have open
- * @param memoryBytes memory that the process may use
- * @param gossipListenAddress where messages of other instances arrive; null where instances don't
- *     talk
- * @param instanceAddresses the other instances' addresses
- * @param broadcastAddress the address that reaches all of them; null where there is none
- * @param initialEndpoints the endpoint list as it was when the file was written
- * @param settings the settings of the decisions
- * @param idleTimeoutNanos time after which an endpoint may close an idle connection
+ * @param maxDescriptors the number of file descriptors that the process may have open
+ * @param memoryBytes the memory that the process may use
+ * @param gossipListenAddress the address on which the instance receives gossip; null if it receives
+ *     none
+ * @param instanceAddresses the gossip addresses of all instances of the group, this one included,
+ *     by index
+ * @param broadcastAddress the address that reaches all other instances at once; null if there is
+ *     none
+ * @param initialEndpoints the endpoint list as it was when the configuration was written
+ * @param settings the settings of the decision engine
+ * @param idleTimeoutNanos the time after which an endpoint may close an idle connection
  * @param hasLoadReports whether responses carry a load report
  */
 public record BalancerConfig(
@@ -47,10 +50,10 @@
   public static final String FILE_VARIABLE = "ROUTER_CONFIG";
 
   /**
-   * Reads the file that the environment names.
+   * Reads the configuration file that the environment names.
    *
    * @throws IOException if the file cannot be read
-   * @throws ConfigurationException if it cannot be used, or if none is named
+   * @throws ConfigurationException if the configuration cannot be used, or if no file is named
    */
   public static BalancerConfig read(Map<String, String> environment) throws IOException {
     String path = environment.get(FILE_VARIABLE);
@@ -61,10 +64,11 @@
   }
 
   /**
-   * Parses a configuration. Fields that the text lacks may come from the environment; the text has
-   * precedence, since the file can be replaced while the process runs and the environment cannot.
+   * Parses a configuration. The environment provides some of the fields that the text lacks. The
+   * text takes precedence, since the file can be replaced while the process runs and the
+   * environment cannot.
    *
-   * @throws ConfigurationException if it cannot be used
+   * @throws ConfigurationException if the configuration cannot be used
    */
   public static BalancerConfig parse(String text, Map<String, String> environment) {
     try {
@@ -74,7 +78,7 @@
     }
   }
 
-  /** Describes in one line why a configuration could not be read or used. */
+  /** Returns one line that says why a configuration could not be read or used. */
   public static String describeProblem(Exception problem) {
     String text = hasSelfExplanatoryMessage(problem) ? problem.getMessage() : problem.toString();
     return text.lines().findFirst().orElse("");
--- a/src/main/java/loadbalancer/config/BalancerConfigParser.java
+++ b/src/main/java/loadbalancer/config/BalancerConfigParser.java
@@ -11,18 +11,18 @@
 import loadbalancer.json.MalformedInputException;
 import loadbalancer.net.SocketAddresses;
 
-/** Parses the configuration of one instance; unknown fields are skipped. */
+/** Parses the configuration of one instance; unknown fields are ignored. */
 final class BalancerConfigParser {
 
-  /** Descriptors, where the file states no limit: the usual limit of a process. */
+  /** The descriptor limit if the file states none, which is the usual limit of a process. */
   private static final int DEFAULT_MAX_DESCRIPTORS = 1024;
 
-  /** Memory in MiB, where the file states no limit. */
+  /** The memory limit if the file states none. */
   private static final int DEFAULT_MEMORY_MIB = 192;
 
   private static final int BYTES_PER_MIB_SHIFT = 20;
 
-  /** Time in ns after which endpoints close idle connections, where the settings don't say. */
+  /** The time after which endpoints close idle connections if the settings state none. */
   private static final long DEFAULT_IDLE_TIMEOUT_NANOS = 5_000_000_000L;
 
   private static final int SEED_RADIX = 16;
@@ -88,7 +88,7 @@
   }
 
   private static boolean hasLoadReports(JsonFields settings) {
-    String how = settings.objectOrEmpty("report").text("how", NO_LOAD_REPORTS);
-    return !how.equals(NO_LOAD_REPORTS);
+    String mode = settings.objectOrEmpty("report").text("how", NO_LOAD_REPORTS);
+    return !mode.equals(NO_LOAD_REPORTS);
   }
 }
--- a/src/main/java/loadbalancer/config/ConfigurationException.java
+++ b/src/main/java/loadbalancer/config/ConfigurationException.java
@@ -1,6 +1,9 @@
 package loadbalancer.config;
 
-/** A configuration that cannot be used; the message says in one line what is wrong with it. */
+/**
+ * Thrown for a configuration that cannot be used; the message says in one line what is wrong with
+ * it.
+ */
 public final class ConfigurationException extends RuntimeException {
 
   private static final long serialVersionUID = 1L;
--- a/src/main/java/loadbalancer/config/SettingsDecoder.java
+++ b/src/main/java/loadbalancer/config/SettingsDecoder.java
@@ -15,9 +15,9 @@
 import loadbalancer.json.JsonFields;
 
 /**
- * Decodes the settings of the decision engine, which the simulator and the platform state in the
- * same form. Unknown fields are skipped. Of absent ones, those whose default is not 0, 1, false or
- * empty have it as a named constant.
+ * Decodes the settings of the decision engine, which the simulator and the platform provide in the
+ * same form. Unknown fields are ignored. Defaults of absent fields that are not 0, 1, false or
+ * empty are named constants.
  */
 public final class SettingsDecoder {
 
@@ -37,55 +37,55 @@
   private static final Map<String, Boolean> POLLED_DISCOVERY =
       Map.of("pushed", false, "on_request", true);
 
-  /** Harmless for every request: one that is not known to be repeatable never runs twice. */
+  /** The safe default: a request that is not known to be idempotent never runs twice. */
   private static final Idempotence DEFAULT_IDEMPOTENCE = Idempotence.NON_IDEMPOTENT;
 
-  /** The narrowest scope: a repeat goes only where it is surely recognised. */
+  /** The narrowest scope: a repeat is only sent to endpoints that are certain to recognise it. */
   private static final DedupScope DEFAULT_DEDUP_SCOPE = DedupScope.CELL;
 
-  /** One attempt and no retry. */
+  /** A single attempt without retries. */
   private static final int DEFAULT_MAX_ATTEMPTS = 1;
 
-  /** No limit of its own; admission limits what is in flight. */
+  /** No separate limit: admission control limits the requests in flight. */
   private static final int DEFAULT_MAX_IN_FLIGHT_REQUESTS = Integer.MAX_VALUE;
 
-  /** One request on a connection at a time, as in HTTP/1.1. */
+  /** One request at a time on a connection, as in HTTP/1.1. */
   private static final int DEFAULT_STREAMS_PER_CONNECTION = 1;
 
-  /** Time in ns: many round trips within a site. */
+  /** Long enough for many round trips within a site. */
   private static final long DEFAULT_CONNECT_TIMEOUT_NANOS = 250_000_000L;
 
-  /** Time in ns, where the list is polled; one that is pushed is not polled. */
+  /** The time within which a polled list is polled again; a pushed list is not polled. */
   private static final long DEFAULT_POLL_WITHIN_NANOS = 10_000_000_000L;
 
-  /** The part of its capacity that an endpoint has at its start. */
+  /** The share of its capacity that an endpoint has when it starts. */
   private static final double DEFAULT_INITIAL_CAPACITY = 0.1;
 
-  /** Time in ns after which an endpoint has its whole capacity. */
+  /** The time after its start at which an endpoint has its full capacity. */
   private static final long DEFAULT_SLOW_START_NANOS = 30_000_000_000L;
 
-  /** Times the usual load from which a warming endpoint may fail. */
+  /** The multiple of its current capacity above which a warming endpoint may fail. */
   private static final double DEFAULT_OVERLOAD_MULTIPLE = 1;
 
-  /** Time in ns over which that load is measured. */
+  /** The time for which the load of a warming endpoint has to exceed that multiple. */
   private static final long DEFAULT_OVERLOAD_WINDOW_NANOS = 1_000_000_000L;
 
-  /** Points that a response in time earns. */
+  /** The points that a response in time earns. */
   private static final double DEFAULT_PRIORITY_WEIGHT = 1;
 
-  /** Requests over their tenant's quota lose nothing of their weight. */
+  /** The weight factor of requests over their tenant's quota; at 1 they keep their full weight. */
   private static final double DEFAULT_OVER_QUOTA_WEIGHT = 1;
 
-  /** Time in ns that may pass before an action is carried out. */
+  /** The time that may pass before an action is carried out. */
   private static final long DEFAULT_TICK_NANOS = 1_000_000L;
 
   private SettingsDecoder() {}
 
   /**
-   * Decodes settings.
+   * Decodes the settings.
    *
-   * @throws loadbalancer.json.MalformedInputException if a field is not of its type
-   * @throws IllegalArgumentException if a value cannot make sense
+   * @throws loadbalancer.json.MalformedInputException if a field has the wrong type
+   * @throws IllegalArgumentException if a value is out of its range
    */
   public static Settings decode(JsonFields settings) {
     boolean polledDiscovery = settings.constant("registry-mode", POLLED_DISCOVERY, false);
@@ -113,7 +113,10 @@
     return classes;
   }
 
-  /** Where no deadline is stated, a response is of no use once it misses its objective. */
+  /**
+   * Decodes a class of requests. Without a stated deadline a response is of no use once it misses
+   * its latency objective.
+   */
   private static RequestClass requestClass(JsonFields fields) {
     long latencyObjectiveNanos = fields.integer("aim-ns");
     return new RequestClass(
--- a/src/main/java/loadbalancer/json/JsonFields.java
+++ b/src/main/java/loadbalancer/json/JsonFields.java
@@ -9,8 +9,9 @@
 
 /**
  * A JSON object with checked access to its fields. A field that holds null counts as absent. Every
- * accessor throws a {@link MalformedInputException} that carries the field's path if the value is
- * not of its type; those with a default throw for a wrong value, too, but not for an absent one.
+ * accessor throws a {@link MalformedInputException} with the field's path if the value has another
+ * type than requested. Accessors with a default return it for an absent field, but still throw for
+ * a value of another type.
  */
 public final class JsonFields {
 
@@ -23,9 +24,9 @@
   }
 
   /**
-   * Parses a text that consists of one object.
+   * Parses a text that consists of one JSON object.
    *
-   * @param name what error messages call the object; it is the root of the paths
+   * @param name the name of the object in error messages, which is the root of the paths
    * @throws MalformedInputException if the text is not one JSON object
    */
   public static JsonFields parse(JsonFactory factory, String name, String text) {
@@ -39,12 +40,12 @@
     throw MalformedInputException.mismatch(path, "an object", value);
   }
 
-  /** This object's path from the root of the text. */
+  /** Returns this object's path from the root of the text. */
   public String path() {
     return path;
   }
 
-  /** The path of one of its fields. */
+  /** Returns the path of a field of this object. */
   public String pathOf(String name) {
     return path + "." + name;
   }
@@ -53,15 +54,15 @@
     return MalformedInputException.mismatch(pathOf(name), expected, values.get(name));
   }
 
-  /** Whether a field is there and not null. */
+  /** Returns whether a field is present and not null. */
   public boolean has(String name) {
     return values.get(name) != null;
   }
 
   /**
-   * The name of the object's only field.
+   * Returns the name of the object's only field.
    *
-   * @param meaning what the field stands for, for the error message
+   * @param meaning what the field stands for, used in the error message
    */
   public String onlyFieldName(String meaning) {
     if (values.size() != 1) {
@@ -71,7 +72,7 @@
     return (String) values.keySet().iterator().next();
   }
 
-  /** A whole number. */
+  /** Returns the whole number in a field. */
   public long integer(String name) {
     if (values.get(name) instanceof Long number) {
       return number;
@@ -79,17 +80,17 @@
     throw mismatch(name, "a whole number");
   }
 
-  /** A whole number, or a default. */
+  /** Returns the whole number in a field, or the default for an absent field. */
   public long integer(String name, long defaultValue) {
     return has(name) ? integer(name) : defaultValue;
   }
 
-  /** Whether a field is the whole number 0. */
+  /** Returns whether a field holds the whole number 0. */
   public boolean isZero(String name) {
     return values.get(name) instanceof Long number && number == 0;
   }
 
-  /** A number, whole or not, or a default. */
+  /** Returns the number in a field, whole or not, or the default for an absent field. */
   public double number(String name, double defaultValue) {
     if (!has(name)) {
       return defaultValue;
@@ -100,7 +101,7 @@
     throw mismatch(name, "a number");
   }
 
-  /** A truth value. */
+  /** Returns the boolean in a field. */
   public boolean bool(String name) {
     if (values.get(name) instanceof Boolean flag) {
       return flag;
@@ -108,12 +109,12 @@
     throw mismatch(name, "true or false");
   }
 
-  /** A truth value, or a default. */
+  /** Returns the boolean in a field, or the default for an absent field. */
   public boolean bool(String name, boolean defaultValue) {
     return has(name) ? bool(name) : defaultValue;
   }
 
-  /** A string. */
+  /** Returns the string in a field. */
   public String text(String name) {
     if (values.get(name) instanceof String text) {
       return text;
@@ -121,15 +122,15 @@
     throw mismatch(name, "a text");
   }
 
-  /** A string, or a default. */
+  /** Returns the string in a field, or the default for an absent field. */
   public String text(String name, String defaultValue) {
     return has(name) ? text(name) : defaultValue;
   }
 
   /**
-   * The constant that a string names.
+   * Returns the constant that the string in a field names.
    *
-   * @param constants the constants by the names that the input may use
+   * @param constants the constants by their names in the input
    */
   public <T> T constant(String name, Map<String, T> constants) {
     T constant = constants.get(text(name));
@@ -139,22 +140,22 @@
     return constant;
   }
 
-  /** The constant that a string names, or a default. */
+  /** Returns the constant that the string in a field names, or the default for an absent field. */
   public <T> T constant(String name, Map<String, T> constants, T defaultValue) {
     return has(name) ? constant(name, constants) : defaultValue;
   }
 
-  /** An object. */
+  /** Returns the object in a field. */
   public JsonFields object(String name) {
     return cast(pathOf(name), values.get(name));
   }
 
-  /** An object, or an empty one where the field is absent. */
+  /** Returns the object in a field; an empty one for an absent field. */
   public JsonFields objectOrEmpty(String name) {
     return has(name) ? object(name) : new JsonFields(pathOf(name), Map.of());
   }
 
-  /** An array of objects. */
+  /** Returns the array of objects in a field. */
   public List<JsonFields> objects(String name) {
     List<?> array = array(name);
     List<JsonFields> objects = new ArrayList<>(array.size());
@@ -164,12 +165,12 @@
     return objects;
   }
 
-  /** An array of objects, or an empty list where the field is absent. */
+  /** Returns the array of objects in a field; an empty list for an absent field. */
   public List<JsonFields> objectsOrEmpty(String name) {
     return has(name) ? objects(name) : List.of();
   }
 
-  /** An array of strings, or an empty list where the field is absent. */
+  /** Returns the array of strings in a field; an empty list for an absent field. */
   public List<String> textsOrEmpty(String name) {
     if (!has(name)) {
       return List.of();
@@ -192,8 +193,8 @@
   }
 
   /**
-   * The numbers of an object by their names, in its order; fields of other types are left out. An
-   * empty map where the object is absent.
+   * Returns the numbers of the object in a field by their names, in the order of the object; fields
+   * of other types are skipped. Returns an empty map for an absent field.
    */
   public Map<String, Double> numbersOrEmpty(String name) {
     if (!has(name)) {
--- a/src/main/java/loadbalancer/json/JsonTextReader.java
+++ b/src/main/java/loadbalancer/json/JsonTextReader.java
@@ -12,17 +12,17 @@
 import java.util.Map;
 
 /**
- * Reads the one value of a JSON text: objects as maps in the order of the text, arrays as lists,
- * whole numbers as {@link Long}, others as {@link Double}.
+ * Reads the only value of a JSON text. Objects become maps in the order of the text, arrays become
+ * lists, whole numbers {@link Long} and other numbers {@link Double}.
  */
 final class JsonTextReader {
 
   private JsonTextReader() {}
 
   /**
-   * Reads a text.
+   * Reads a text that consists of one value.
    *
-   * @param name what error messages call the value
+   * @param name the name of the value in error messages
    * @throws MalformedInputException if the text is not exactly one JSON value
    */
   static Object read(JsonFactory factory, String name, String text) {
@@ -38,7 +38,7 @@
     } catch (JsonProcessingException e) {
       throw new MalformedInputException("not JSON: " + e.getOriginalMessage());
     } catch (IOException e) {
-      // A text in memory is read without input or output.
+      // Reading from a string performs no I/O, so this does not happen.
       throw new UncheckedIOException(e);
     }
   }
--- a/src/main/java/loadbalancer/json/MalformedInputException.java
+++ b/src/main/java/loadbalancer/json/MalformedInputException.java
@@ -1,8 +1,8 @@
 package loadbalancer.json;
 
 /**
- * Input that does not have the form it must have. The message says in one line what is wrong and
- * where; {@link #path}, {@link #expected} and {@link #actual} say the same in parts, where known.
+ * Thrown for input that does not have the required form. The message says in one line what is wrong
+ * and where; {@link #path}, {@link #expected} and {@link #actual} return its parts, where known.
  */
 public final class MalformedInputException extends RuntimeException {
 
@@ -12,7 +12,7 @@
   private final String expected;
   private final String actual;
 
-  /** A problem that belongs to no single field. */
+  /** Creates an exception for a problem that belongs to no single field. */
   public MalformedInputException(String problem) {
     this(problem, null, null, null, null);
   }
@@ -26,11 +26,11 @@
   }
 
   /**
-   * A field whose value is not what it must be.
+   * Returns an exception for a field whose value does not have the required form.
    *
    * @param path the field's path from the root, such as {@code config.limits.sockets}
-   * @param expected what the field must hold, as a noun phrase
-   * @param value what it holds; null if it is absent
+   * @param expected the required value, as a noun phrase
+   * @param value the value found; null if the field is absent
    */
   public static MalformedInputException mismatch(String path, String expected, Object value) {
     String actual = describe(value);
@@ -38,14 +38,21 @@
     return new MalformedInputException(message, path, expected, actual, null);
   }
 
-  /** A field that must not be there, or whose value has a problem that no type expresses. */
+  /**
+   * Returns an exception for a field that is not allowed, or whose value has a problem that no type
+   * expresses.
+   */
   public static MalformedInputException invalid(String path, String problem) {
     return new MalformedInputException("field " + path + ": " + problem, path, null, null, null);
   }
 
-  /** The same problem, with its place in the input, such as {@code line 2}, before the message. */
-  public MalformedInputException withLocation(String place) {
-    return new MalformedInputException(place + ": " + getMessage(), path, expected, actual, this);
+  /**
+   * Returns an exception for the same problem whose message starts with a location in the input,
+   * such as {@code line 2}.
+   */
+  public MalformedInputException withLocation(String location) {
+    return new MalformedInputException(
+        location + ": " + getMessage(), path, expected, actual, this);
   }
 
   private static String describe(Object value) {
@@ -55,17 +62,17 @@
     return value instanceof String ? "\"" + value + "\"" : value.toString();
   }
 
-  /** The path of the field at fault; null if the problem belongs to no single field. */
+  /** Returns the path of the field at fault; null if the problem belongs to no single field. */
   public String path() {
     return path;
   }
 
-  /** What the field must hold; null if the problem is of another kind. */
+  /** Returns the required value; null if the problem is not a mismatch. */
   public String expected() {
     return expected;
   }
 
-  /** What the field holds, for messages; null if the problem is of another kind. */
+  /** Returns a description of the value found; null if the problem is not a mismatch. */
   public String actual() {
     return actual;
   }
--- a/src/main/java/loadbalancer/json/package-info.java
+++ b/src/main/java/loadbalancer/json/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Checked access to JSON objects: every field is read with the type it must have, and input that
- * does not comply is reported by the path of the field.
+ * Checked access to JSON objects: every field is read with its required type, and malformed input
+ * is reported with the path of the field.
  */
 package loadbalancer.json;
--- a/src/test/java/loadbalancer/config/BalancerConfigTest.java
+++ b/src/test/java/loadbalancer/config/BalancerConfigTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Defaults of a configuration, and that one which cannot be used is described in one line. */
+/** Checks the defaults of a configuration and the one-line descriptions of unusable ones. */
 class BalancerConfigTest {
 
   private static final String MINIMAL =
@@ -79,9 +79,10 @@
         "400 | \"x\" | field config.settings.categories[0].aim-ns: expected a whole number, got"
             + " \"x\""
       })
-  void problemsAreDescribedWithThePathOfTheField(String part, String wrong, String problem) {
+  void problemsAreDescribedWithThePathOfTheField(
+      String original, String replacement, String problem) {
     ConfigurationException exception =
-        parseFailure(MINIMAL.replace(part, wrong == null ? "" : wrong));
+        parseFailure(MINIMAL.replace(original, replacement == null ? "" : replacement));
     assertEquals("configuration: " + problem, BalancerConfig.describeProblem(exception));
   }
 
--- a/src/test/java/loadbalancer/json/JsonFieldsTest.java
+++ b/src/test/java/loadbalancer/json/JsonFieldsTest.java
@@ -15,7 +15,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Values of the right type are read; for others the error says where, what was expected and found.
+ * Checks that values are read with their type, and that errors name the path, the required form and
+ * the value found.
  */
 class JsonFieldsTest {
 
