--- a/src/main/java/loadbalancer/gossip/GossipChannel.java
+++ b/src/main/java/loadbalancer/gossip/GossipChannel.java
@@ -15,7 +15,7 @@
 import java.util.logging.Level;
 import java.util.logging.Logger;
 
-/** Exchanges gossip with the other instances as UDP datagrams, one message each. */
+/** Exchanges gossip with the other instances as UDP datagrams, one message per datagram. */
 public final class GossipChannel implements GossipSender {
 
   private static final Logger LOG = Logger.getLogger(GossipChannel.class.getName());
@@ -32,7 +32,8 @@
    *
    * @param instanceIndex the index of this instance
    * @param instances the addresses of all instances, this one included, by index
-   * @param broadcastAddress where a message to all others is sent once; null to send it to each
+   * @param broadcastAddress the address to which a message to all other instances is sent once;
+   *     null to send it to each of them
    */
   public GossipChannel(
       int instanceIndex, List<InetSocketAddress> instances, InetSocketAddress broadcastAddress) {
@@ -42,7 +43,7 @@
   }
 
   /**
-   * Binds the socket and hands every message of another instance to the receiver; datagrams from
+   * Binds the socket and passes every message of another instance to the receiver. Datagrams from
    * unknown addresses are ignored.
    */
   public ChannelFuture listen(
@@ -57,7 +58,7 @@
     return bound;
   }
 
-  /** Returns the bound address, with the port that the system has chosen where none was given. */
+  /** Returns the bound address, with the port that the system chose if none was given. */
   public InetSocketAddress address() {
     return (InetSocketAddress) channel.localAddress();
   }
--- a/src/main/java/loadbalancer/gossip/GossipReceiver.java
+++ b/src/main/java/loadbalancer/gossip/GossipReceiver.java
@@ -7,7 +7,7 @@
    * Handles a message.
    *
    * @param from the index of the instance that sent it
-   * @param data its contents, which become the receiver's
+   * @param data the contents of the message, which the receiver may keep
    */
   void receive(int from, byte[] data);
 }
--- a/src/main/java/loadbalancer/gossip/GossipSender.java
+++ b/src/main/java/loadbalancer/gossip/GossipSender.java
@@ -1,6 +1,6 @@
 package loadbalancer.gossip;
 
-/** Sends messages to other instances of the group, without any guarantee of delivery. */
+/** Sends messages to other instances of the group, without a guarantee of delivery. */
 public interface GossipSender {
 
   /**
--- a/src/main/java/loadbalancer/simulator/ActionEncoder.java
+++ b/src/main/java/loadbalancer/simulator/ActionEncoder.java
@@ -16,7 +16,10 @@
 import loadbalancer.decision.api.Action.StartAttempt;
 import loadbalancer.decision.api.Action.WatchEndpoints;
 
-/** Encodes the decision engine's actions, each as an object whose only field is the action. */
+/**
+ * Encodes the decision engine's actions. Each becomes a JSON object whose only field is named after
+ * the action.
+ */
 final class ActionEncoder {
 
   private ActionEncoder() {}
@@ -49,7 +52,7 @@
     endAction(out);
   }
 
-  /** Writes an action that concerns no single request. */
+  /** Writes an action that belongs to no request. */
   private static void writeNonRequestAction(JsonGenerator out, Action action) throws IOException {
     if (action instanceof WatchEndpoints watch) {
       startAction(out, SimulatorProtocol.WATCH_ENDPOINTS);
@@ -73,14 +76,14 @@
     }
   }
 
-  /** Writes the report that an instance's decision engine threw an exception. */
+  /** Reports that the decision engine of an instance threw an exception. */
   static void writeFault(JsonGenerator out, RuntimeException exception) throws IOException {
     StackTraceElement[] trace = exception.getStackTrace();
-    String place = trace.length == 0 ? "unknown place" : trace[0].toString();
+    String location = trace.length == 0 ? "unknown place" : trace[0].toString();
     startAction(out, SimulatorProtocol.FAULT);
     out.writeStringField(
         SimulatorProtocol.TEXT,
-        exception.getClass().getName() + ": " + exception.getMessage() + " at " + place);
+        exception.getClass().getName() + ": " + exception.getMessage() + " at " + location);
     endAction(out);
   }
 
--- a/src/main/java/loadbalancer/simulator/EventDecoder.java
+++ b/src/main/java/loadbalancer/simulator/EventDecoder.java
@@ -20,7 +20,7 @@
 import loadbalancer.json.JsonFields;
 import loadbalancer.json.MalformedInputException;
 
-/** Decodes the simulator's messages to events of the decision engine. */
+/** Decodes the simulator's messages into events of the decision engine. */
 final class EventDecoder {
 
   private static final Map<String, AttemptStatus> STATUSES =
@@ -50,8 +50,8 @@
   /**
    * Decodes an event.
    *
-   * @param name the message's name; those that start and end an instance are not events
-   * @throws MalformedInputException if there is no such event, or a field is not of its type
+   * @param name the message's name; messages that start or end an instance are not events
+   * @throws MalformedInputException if the event is unknown or a field has the wrong type
    */
   static Event decode(String name, JsonFields fields) {
     return switch (name) {
@@ -82,7 +82,10 @@
         fields.bool(SimulatorProtocol.RETRY, false));
   }
 
-  /** Sites without tenants omit the field or write 0. */
+  /**
+   * Returns the name of the tenant, or null: deployments without tenants omit the field or set it
+   * to 0.
+   */
   private static String tenant(JsonFields fields) {
     return fields.isZero(SimulatorProtocol.TENANT)
         ? null
@@ -125,7 +128,7 @@
     }
   }
 
-  /** A failed update may omit the endpoints. */
+  /** Decodes an update of the endpoint list; a failed one may omit the endpoints. */
   private static EndpointListUpdate endpointListUpdate(JsonFields fields) {
     UpdateKind kind = fields.constant(SimulatorProtocol.UPDATE_KIND, UPDATE_KINDS);
     List<Endpoint> endpoints = new ArrayList<>();
--- a/src/main/java/loadbalancer/simulator/SimulateCommand.java
+++ b/src/main/java/loadbalancer/simulator/SimulateCommand.java
@@ -5,7 +5,7 @@
 import java.io.PrintStream;
 import loadbalancer.json.MalformedInputException;
 
-/** The subcommand that lets the simulator drive decision engines. */
+/** The subcommand by which the simulator drives decision engines. */
 public final class SimulateCommand {
 
   private static final int SUCCESS = 0;
--- a/src/main/java/loadbalancer/simulator/SimulatorAdapter.java
+++ b/src/main/java/loadbalancer/simulator/SimulatorAdapter.java
@@ -21,13 +21,13 @@
 import loadbalancer.json.MalformedInputException;
 
 /**
- * The conversation with the simulator: each line of the input is a batch of messages for some
- * instances, and each gets one line with the instances' actions. Owns the decision engines, one for
- * every instance that has been started and not ended.
+ * Connects decision engines to the simulator. Each line of the input is a batch of messages to some
+ * instances, and the reply to it is one line with the actions of these instances. Owns the decision
+ * engines, one for each instance that has been started and not ended.
  */
 final class SimulatorAdapter {
 
-  /** Bytes: most batches and replies fit. */
+  /** The buffer size in bytes, into which most batches and replies fit. */
   private static final int BUFFER_SIZE = 1 << 16;
 
   private final JsonFactory json = new JsonFactory();
@@ -59,14 +59,14 @@
   }
 
   private void writeReply(long line, String text, OutputStream reply) throws IOException {
-    String place = "line " + line;
+    String location = "line " + line;
     try (JsonGenerator generator = json.createGenerator(reply)) {
       handleBatch(JsonFields.parse(json, "batch", text), generator);
     } catch (MalformedInputException e) {
-      throw e.withLocation(place);
+      throw e.withLocation(location);
     } catch (IllegalArgumentException e) {
-      // Settings that cannot make sense.
-      throw new MalformedInputException(place + ": " + e.getMessage());
+      // A value of the settings is out of its range.
+      throw new MalformedInputException(location + ": " + e.getMessage());
     }
   }
 
@@ -83,33 +83,33 @@
 
   private void handleGroup(long nowNanos, JsonFields group, JsonGenerator generator)
       throws IOException {
-    long instance = group.integer(SimulatorProtocol.BALANCER);
+    long instanceId = group.integer(SimulatorProtocol.BALANCER);
     generator.writeStartObject();
-    generator.writeNumberField(SimulatorProtocol.BALANCER, instance);
+    generator.writeNumberField(SimulatorProtocol.BALANCER, instanceId);
     generator.writeArrayFieldStart(SimulatorProtocol.ACTIONS);
     for (JsonFields message : group.objects(SimulatorProtocol.MESSAGES)) {
-      handleMessage(nowNanos, instance, message, generator);
+      handleMessage(nowNanos, instanceId, message, generator);
     }
     generator.writeEndArray();
     generator.writeEndObject();
   }
 
   private void handleMessage(
-      long nowNanos, long instance, JsonFields message, JsonGenerator generator)
+      long nowNanos, long instanceId, JsonFields message, JsonGenerator generator)
       throws IOException {
     String name = message.onlyFieldName("event");
     JsonFields fields = message.object(name);
     if (name.equals(SimulatorProtocol.PROVISION)) {
-      engines.put(instance, newEngine(fields));
+      engines.put(instanceId, newEngine(fields));
       return;
     }
-    DecisionEngine engine = engines.get(instance);
+    DecisionEngine engine = engines.get(instanceId);
     if (engine == null) {
       throw MalformedInputException.invalid(
-          fields.path(), "balancer " + instance + " was never provisioned");
+          fields.path(), "balancer " + instanceId + " was never provisioned");
     }
     if (name.equals(SimulatorProtocol.KILL)) {
-      engines.remove(instance);
+      engines.remove(instanceId);
       return;
     }
     Event event = EventDecoder.decode(name, fields);
--- a/src/main/java/loadbalancer/simulator/SimulatorProtocol.java
+++ b/src/main/java/loadbalancer/simulator/SimulatorProtocol.java
@@ -11,7 +11,7 @@
   static final String MESSAGES = "msgs";
   static final String ACTIONS = "actions";
 
-  /** Messages that start and end an instance. */
+  /** Messages that start and end an instance, and their fields. */
   static final String PROVISION = "Provision";
 
   static final String KILL = "Kill";
@@ -43,10 +43,10 @@
   static final String SEND_GOSSIP = "BroadcastTo";
   static final String LOG_MESSAGE = "Emit";
 
-  /** Takes an action's place in the reply if the decision engine threw an exception. */
+  /** The entry of a reply that reports an exception of the decision engine. */
   static final String FAULT = "Fault";
 
-  /** Fields that events and actions share. */
+  /** Fields of both events and actions. */
   static final String REQUEST_ID = "rid";
 
   static final String ATTEMPT = "go";
--- a/src/main/java/loadbalancer/simulator/package-info.java
+++ b/src/main/java/loadbalancer/simulator/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The adapter between the decision engine and the simulator: batches of events come in as lines of
- * JSON, and the engine's actions go out in the same way.
+ * The adapter between the decision engine and the simulator, which sends batches of events as lines
+ * of JSON and gets the engine's actions in the same form.
  */
 package loadbalancer.simulator;
