--- a/src/test/java/loadbalancer/simulator/DecisionRecorder.java
+++ b/src/test/java/loadbalancer/simulator/DecisionRecorder.java
@@ -8,15 +8,15 @@
 import org.junit.jupiter.api.condition.EnabledIfSystemProperty;
 
 /**
- * Records the engine's decisions anew. A step of its own, which no build takes by itself:
+ * Records the engine's decisions again. No build runs this by itself:
  *
  * <pre>
  * mvn test -Dtest=DecisionRecorder -Ddecisions.record=true
  * </pre>
  *
- * <p>A recording that changes says that decisions have moved. A restructuring must not do that; any
- * other change should name in its commit the decisions that moved and why. The digests also change
- * when a scenario or its player does.
+ * <p>A changed recording means that decisions have changed. A refactoring must not change any; the
+ * commit of any other change should name the decisions that changed and why. The digests also
+ * change with a scenario or with the {@link ScenarioPlayer}.
  */
 class DecisionRecorder {
 
--- a/src/test/java/loadbalancer/simulator/DecisionRecordingTest.java
+++ b/src/test/java/loadbalancer/simulator/DecisionRecordingTest.java
@@ -16,13 +16,14 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * The engine answers recorded events with the recorded actions, one for one. A failure says that
- * decisions have moved: a restructuring must not do that. {@link DecisionRecorder} tells how to
- * record anew where they were meant to move; this test never writes.
+ * Checks that the engine answers recorded events with exactly the recorded actions. A failure means
+ * that decisions have changed, which a refactoring must not cause. {@link DecisionRecorder}
+ * describes how to record again after an intended change; this test never writes.
  *
- * <p>The hashes cover far more events than the files, but tell only that something moved; the files
- * tell what. Both depend on floating-point results that the language leaves to the platform by one
- * last digit (exp, pow): should all of them fail on a new processor architecture, suspect that.
+ * <p>The digests cover far more events than the recorded conversations, but only show that
+ * something changed; the conversations show what. Both depend on floating-point functions (exp,
+ * pow) whose last digit the language leaves to the platform: if all recordings fail on a new
+ * processor architecture, these are the likely cause.
  */
 class DecisionRecordingTest {
 
@@ -63,7 +64,7 @@
             assertEquals(
                 lines.next(),
                 reply,
-                () -> DecisionRecordings.file(name) + " line " + line[0] + ": decisions moved");
+                () -> DecisionRecordings.file(name) + " line " + line[0] + ": decisions changed");
           }
           line[0]++;
           return lines.hasNext() ? lines.next() : null;
@@ -82,7 +83,7 @@
     assertEquals(
         expected,
         DecisionRecordings.digest(scenario),
-        () -> DecisionRecordings.DIGESTS + " " + scenario.name() + ": decisions moved");
+        () -> DecisionRecordings.DIGESTS + " " + scenario.name() + ": decisions changed");
   }
 
   @Test
@@ -107,7 +108,10 @@
     assertTrue(all <= MAX_TOTAL_BYTES, "bytes in all: " + all);
   }
 
-  /** What the files contain at least so often; {@link RecordingCoverage} says how it counts. */
+  /**
+   * Checks that the recordings contain each category at least this often; {@link RecordingCoverage}
+   * defines the categories.
+   */
   @ParameterizedTest
   @CsvSource({
     "setting list pushed, 4",
@@ -116,8 +120,8 @@
     "setting weights nominal, 1",
     "setting weights rough, 1",
     "setting weights live, 1",
-    "setting warm keys true, 2",
-    "setting warm keys false, 2",
+    "setting key affinity true, 2",
+    "setting key affinity false, 2",
     "setting group of 1, 2",
     "setting group of 4, 2",
     "setting group of 100, 1",
@@ -158,36 +162,37 @@
     "outcome called_off, 5",
     "decision retry, 50",
     "decision hedge, 5",
-    "decision held then sent, 10",
-    "decision held then declined, 5",
-    "decision declined at once, 30",
-    "decision declined with retry-after, 30",
-    "decision declined without retry-after, 5",
+    "decision queued then sent, 10",
+    "decision queued then rejected, 5",
+    "decision rejected at once, 30",
+    "decision rejected with retry-after, 30",
+    "decision rejected without retry-after, 5",
     "decision dropped at_most_once, 10",
     "decision dropped deduplicated, 3",
-    "decision attempt aborted, 10",
-    "decision subscribed to list, 2",
-    "decision list called again, 4",
+    "decision attempt cancelled, 10",
+    "decision list watched, 2",
+    "decision list watched again, 4",
     "decision ejection, 6",
     "decision end of ejection, 4",
     "decision panic, 5",
-    "decision sent to cold endpoint, 30",
-    "decision retry budget spent, 5",
+    "decision sent to warming endpoint, 30",
+    "decision retry budget exhausted, 5",
     "decision repeated in all, 5",
     "decision repeated in zone, 3",
     "decision repeated in cell, 1",
     "decision at_most_once sent again, 3"
   })
-  void everyCategoryIsRecorded(String what, int least) {
-    int count = coverage.count(what);
+  void everyCategoryIsRecorded(String category, int minimum) {
+    int count = coverage.count(category);
     assertTrue(
-        count >= least, () -> what + ": " + count + " times, not " + least + " in " + coverage);
+        count >= minimum,
+        () -> category + ": " + count + " times, expected at least " + minimum + " in " + coverage);
   }
 
   @Test
   void recordingsContainNoRuleViolation() {
     assertEquals(0, coverage.count("fault"));
-    assertEquals(0, coverage.count("sent to departed endpoint"));
+    assertEquals(0, coverage.count("sent to unavailable endpoint"));
     assertEquals(0, coverage.count("at_most_once repeated"));
     assertNull(coverage.firstOverdueRequest(), coverage::firstOverdueRequest);
   }
--- a/src/test/java/loadbalancer/simulator/DecisionRecordings.java
+++ b/src/test/java/loadbalancer/simulator/DecisionRecordings.java
@@ -10,10 +10,11 @@
 import java.util.List;
 
 /**
- * The recordings of the engine's decisions, kept under src/test/resources/decisions: a file for
- * each short scenario (a line with a batch of events, then a line with the reply, and so on) and
- * digests.txt with a line for each long one: name, seed, number of events and the SHA-256 of the
- * replies. {@link DecisionRecorder} writes them, {@link DecisionRecordingTest} compares.
+ * The recordings of the engine's decisions under src/test/resources/decisions. Each short scenario
+ * has a file in which a line with a batch of events and a line with the reply alternate. Each long
+ * scenario has a line in digests.txt with its name, its seed, the number of events and the SHA-256
+ * of the replies. {@link DecisionRecorder} writes the recordings, {@link DecisionRecordingTest}
+ * compares against them.
  */
 final class DecisionRecordings {
 
@@ -26,7 +27,7 @@
     return DIRECTORY.resolve(scenario + ".jsonl");
   }
 
-  /** Plays a scenario and returns batches and replies in turn. */
+  /** Plays a scenario and returns its batches and replies alternately. */
   static List<String> conversation(DecisionScenario scenario) throws IOException {
     ScenarioPlayer player = new ScenarioPlayer(scenario);
     List<String> lines = new ArrayList<>();
@@ -44,7 +45,7 @@
     return lines;
   }
 
-  /** Plays a scenario and returns its line of digests.txt. */
+  /** Plays a scenario and returns its line for digests.txt. */
   static String digest(DecisionScenario scenario) throws IOException {
     ScenarioPlayer player = new ScenarioPlayer(scenario);
     MessageDigest sha256 = sha256();
--- a/src/test/java/loadbalancer/simulator/DecisionScenario.java
+++ b/src/test/java/loadbalancer/simulator/DecisionScenario.java
@@ -3,9 +3,9 @@
 import java.util.List;
 
 /**
- * What a {@link ScenarioPlayer} plays to the decision engine: settings (the wire's boot-info), a
- * model of clients and endpoints, and incidents at set times. Equal scenarios give equal events as
- * long as the engine gives equal actions.
+ * The input of a {@link ScenarioPlayer}: settings of the decision engine (boot-info in the
+ * simulator's protocol), a model of clients and endpoints, and incidents at fixed times. Equal
+ * scenarios yield equal events as long as the engine yields equal actions.
  */
 record DecisionScenario(
     String name,
@@ -16,27 +16,26 @@
     int maxBatches,
     int maxEvents) {
 
-  /** A second in nanoseconds. */
   static final long SECOND_NANOS = 1_000_000_000L;
-
-  /** A millisecond in nanoseconds. */
   static final long MILLISECOND_NANOS = 1_000_000L;
 
-  /** The clock reading at which every scenario begins. */
+  /** The clock reading at which every scenario starts. */
   static final long START_NANOS = 10 * SECOND_NANOS;
 
   /**
-   * The clients and the endpoints.
+   * The model of clients and endpoints.
    *
-   * @param requestsPerSecond the mean rate of first tries
-   * @param keys the number of keys, of which the first are asked for most; 0 for requests without
-   * @param workHintNanos the usual work hint; 0 for requests without
-   * @param endpoints how many the list has at first
-   * @param zones over how many zones they are spread
-   * @param workersPerEndpoint requests that an endpoint serves at once; others wait
+   * @param requestsPerSecond the mean rate of new requests, without retries
+   * @param keys the number of affinity keys, of which the first are the most frequent; 0 for
+   *     requests without a key
+   * @param workHintNanos the usual work hint; 0 for requests without a hint
+   * @param endpoints the number of endpoints that are listed at the start
+   * @param zones the number of zones over which the endpoints are spread
+   * @param workersPerEndpoint the number of requests that an endpoint serves at once; others are
+   *     queued
    * @param serviceTimeNanos the mean service time
-   * @param disconnectShare the part of clients that disconnect early
-   * @param shortDeadlineShare the part of clients that wait for less than the class's deadline
+   * @param disconnectShare the share of requests whose client disconnects early
+   * @param shortDeadlineShare the share of requests with an eighth of their class's deadline
    * @param tickNanos the time between batches
    */
   record Traffic(
@@ -51,10 +50,10 @@
       double shortDeadlineShare,
       long tickNanos) {}
 
-  /** Something that happens to an endpoint, to all of them, to the list or to the traffic. */
+  /** An event that affects one endpoint, all endpoints, the endpoint list or the request rate. */
   record Incident(double second, IncidentKind kind, int endpoint) {
 
-    /** The number in place of an endpoint's that stands for all of them. */
+    /** The value of {@code endpoint} that stands for all endpoints. */
     static final int ALL_ENDPOINTS = -1;
 
     long atNanos() {
@@ -64,37 +63,40 @@
 
   /** The kinds of incidents. */
   enum IncidentKind {
-    /** Answers as usual again. */
+    /** The endpoint responds normally again. */
     HEALTHY,
-    /** Takes many times the usual time. */
+    /** The endpoint takes six times as long to respond. */
     SLOW,
-    /** Answers with errors at once. */
+    /** The endpoint responds with errors at once. */
     FAILING,
-    /** Answers half of the requests with errors. */
+    /** The endpoint responds to half of the requests with errors. */
     UNSTABLE,
-    /** Turns requests away. */
+    /** The endpoint rejects requests. */
     REFUSING,
-    /** Accepts requests and never answers. */
+    /** The endpoint accepts requests and never responds. */
     HANGING,
-    /** Takes no connections. */
+    /** The endpoint accepts no connections. */
     UNREACHABLE,
-    /** Breaks connections. */
+    /** The endpoint resets connections. */
     RESETTING,
-    /** Starts anew and is listed as just started. */
+    /** The endpoint restarts, responds normally and is listed with its new start time. */
     RESTART,
-    /** Is listed as draining. */
+    /** The endpoint is listed as draining. */
     DRAIN,
-    /** Leaves the list. */
+    /** The endpoint is listed as removed. */
     REMOVE,
-    /** Is listed as ready again, not restarted. */
+    /** The endpoint is listed as ready again without a restart. */
     RETURN,
-    /** The complete list is sent. */
+    /** The complete endpoint list is sent if it is watched. */
     FULL_LIST,
-    /** The subscription to the list breaks; two calls fail before it comes back. */
+    /**
+     * The watch of the endpoint list fails if the list is polled, and so do the next two attempts
+     * to watch it.
+     */
     LIST_FAILURE,
-    /** Four times as many requests come. */
+    /** The request rate is four times the usual one. */
     CROWD,
-    /** As many requests as usual come again. */
+    /** The request rate returns to the usual one. */
     CALM
   }
 }
--- a/src/test/java/loadbalancer/simulator/DecisionScenarios.java
+++ b/src/test/java/loadbalancer/simulator/DecisionScenarios.java
@@ -10,7 +10,7 @@
 import loadbalancer.simulator.DecisionScenario.IncidentKind;
 import loadbalancer.simulator.DecisionScenario.Traffic;
 
-/** The scenarios of which the engine's decisions are recorded. */
+/** The scenarios for which the engine's decisions are recorded. */
 final class DecisionScenarios {
 
   private static final int SHORT_SCENARIO_BATCHES = 155;
@@ -21,7 +21,7 @@
 
   private DecisionScenarios() {}
 
-  /** The short scenarios, whose recordings are kept in full. */
+  /** Returns the short scenarios, whose recordings are kept in full. */
   static List<DecisionScenario> shortScenarios() {
     return List.of(
         ejection(),
@@ -237,7 +237,7 @@
         Integer.MAX_VALUE);
   }
 
-  /** An incident from its second, kind and endpoint. */
+  /** Parses an incident given by its second, kind and endpoint. */
   private static Incident incident(String text) {
     String[] words = text.split(" ", 0);
     return new Incident(
@@ -245,8 +245,8 @@
   }
 
   /**
-   * The long scenarios, of which only a hash is kept: the settings of each short one with a larger
-   * fleet, at three rates, with random incidents.
+   * Returns the long scenarios, for which only digests are kept: each has the settings of a short
+   * one, a larger fleet, one of three request rates and random incidents.
    */
   static List<DecisionScenario> longScenarios() {
     List<DecisionScenario> scenarios = new ArrayList<>();
@@ -284,7 +284,10 @@
         LONG_SCENARIO_EVENTS);
   }
 
-  /** One incident a second or so, one in five of them fleet-wide; each ends after a while. */
+  /**
+   * Returns about one incident a second, each followed by its recovery. One in five of those that
+   * change how an endpoint responds or restart it is fleet-wide.
+   */
   private static List<Incident> randomIncidents(long seed) {
     SplittableRandom random = new SplittableRandom(-seed);
     IncidentKind[] kinds = IncidentKind.values();
--- a/src/test/java/loadbalancer/simulator/EngineConversation.java
+++ b/src/test/java/loadbalancer/simulator/EngineConversation.java
@@ -7,23 +7,27 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Talks to the decision engine in the simulator's JSON wire, a line of events for a line of
- * actions. This is the only place of the recordings that names a class of the product.
+ * Talks to the decision engine by the simulator's JSON protocol, which answers each line of events
+ * with a line of actions. This is the only class for the recordings that refers to a class of the
+ * main code.
  */
 final class EngineConversation {
 
   private EngineConversation() {}
 
   /**
-   * Runs a conversation. The peer gets the engine's last reply, null at first, and returns the next
-   * batch of events, null to end.
+   * Runs a conversation. The peer receives the engine's last reply, null at first, and returns the
+   * next batch of events, or null to end the conversation.
    */
   static void run(UnaryOperator<String> peer) throws IOException {
     ByteArrayOutputStream replies = new ByteArrayOutputStream();
     new SimulatorAdapter(new BatchInput(peer, replies), replies).run();
   }
 
-  /** Asks the peer for a batch whenever the adapter has read all there was. */
+  /**
+   * An input stream that asks the peer for the next batch once the adapter has read the previous
+   * one.
+   */
   private static final class BatchInput extends InputStream {
 
     private final UnaryOperator<String> peer;
--- a/src/test/java/loadbalancer/simulator/RecordingCoverage.java
+++ b/src/test/java/loadbalancer/simulator/RecordingCoverage.java
@@ -26,7 +26,7 @@
   private int workHintCount;
   private String firstOverdueRequest;
 
-  /** Adds a recording: batches and replies in turn. */
+  /** Counts a recording, in which batches and replies alternate. */
   void add(List<String> lines) {
     requests.clear();
     endpoints.clear();
@@ -42,11 +42,14 @@
     }
   }
 
-  int count(String what) {
-    return counts.getOrDefault(what, 0);
+  int count(String category) {
+    return counts.getOrDefault(category, 0);
   }
 
-  /** The first request without an answer in time, or null. */
+  /**
+   * Returns the first request whose client gave up after its deadline without a final response, and
+   * when; null if there is none.
+   */
   String firstOverdueRequest() {
     return firstOverdueRequest;
   }
@@ -56,13 +59,13 @@
     return counts.toString();
   }
 
-  private void increment(String what) {
-    counts.merge(what, 1, Integer::sum);
+  private void increment(String category) {
+    counts.merge(category, 1, Integer::sum);
   }
 
-  private void incrementIf(boolean condition, String what) {
+  private void incrementIf(boolean condition, String category) {
     if (condition) {
-      increment(what);
+      increment(category);
     }
   }
 
@@ -85,7 +88,7 @@
     settings = bootInfo;
     increment("setting list " + settings.text("registry-mode"));
     increment("setting weights " + settings.text("weight-kind"));
-    increment("setting warm keys " + settings.nested("domain").bool("warm-keys"));
+    increment("setting key affinity " + settings.nested("domain").bool("warm-keys"));
     increment("setting group of " + settings.integer("group-size"));
     List<WireJson> tenants = settings.objects("projects");
     increment(
@@ -129,11 +132,11 @@
     increment("event request " + (fields.has("object") ? "with key" : "without key"));
     incrementIf(fields.bool("retry"), "event client retry");
     if (fields.has("weight-hint-ns")) {
-      double hint = fields.number("weight-hint-ns");
+      double workHint = fields.number("weight-hint-ns");
       incrementIf(
-          workHintCount > 0 && hint > 4 * workHintSumNanos / workHintCount,
+          workHintCount > 0 && workHint > 4 * workHintSumNanos / workHintCount,
           "event request with heavy hint");
-      workHintSumNanos += hint;
+      workHintSumNanos += workHint;
       workHintCount++;
     }
     WireJson requestClass =
@@ -157,12 +160,12 @@
     increment("outcome " + status);
     request.statuses.set((int) fields.integer("go"), status);
     Endpoint endpoint = endpoints.get(fields.integer("upstream"));
-    boolean hurried =
+    boolean timedOutEarly =
         status.equals("no_answer")
             && fields.integer("wait-time-ns") < request.requestClass.integer("aim-ns");
     if (status.equals("served")) {
       endpoint.clearFailures();
-    } else if (FAILURE_STATUSES.contains(status) && !hurried) {
+    } else if (FAILURE_STATUSES.contains(status) && !timedOutEarly) {
       endpoint.recordFailure(nowNanos);
     }
   }
@@ -174,12 +177,12 @@
       case "Deliver" -> countAttempt(requests.get(fields.text("rid")), fields.integer("upstream"));
       case "Decline" -> countRejection(requests.get(fields.text("rid")), fields);
       case "DropRequest" -> countFailure(requests.get(fields.text("rid")));
-      case "AbortAttempt" -> increment("decision attempt aborted");
+      case "AbortAttempt" -> increment("decision attempt cancelled");
       case "Observe" ->
           increment(
               nowNanos == DecisionScenario.START_NANOS
-                  ? "decision subscribed to list"
-                  : "decision list called again");
+                  ? "decision list watched"
+                  : "decision list watched again");
       case "Fault" -> increment("fault");
       default -> increment("action " + name);
     }
@@ -187,7 +190,7 @@
 
   private void countAttempt(Request request, long id) {
     if (request.statuses.isEmpty()) {
-      incrementIf(nowNanos > request.arrivedAtNanos, "decision held then sent");
+      incrementIf(nowNanos > request.arrivedAtNanos, "decision queued then sent");
     } else {
       increment(request.statuses.contains(null) ? "decision hedge" : "decision retry");
       incrementIf(
@@ -208,11 +211,11 @@
   private void countAttemptTo(Endpoint endpoint) {
     incrementIf(
         !endpoint.state.equals("up") && endpoint.stateSinceNanos < nowNanos,
-        "sent to departed endpoint");
-    long warmWithin = settings.nested("contract").integer("warm-within-ns");
+        "sent to unavailable endpoint");
+    long slowStartNanos = settings.nested("contract").integer("warm-within-ns");
     incrementIf(
-        endpoint.startedNanos > 0 && nowNanos - endpoint.startedNanos < warmWithin,
-        "decision sent to cold endpoint");
+        endpoint.startedNanos > 0 && nowNanos - endpoint.startedNanos < slowStartNanos,
+        "decision sent to warming endpoint");
     if (endpoint.ejectedAtNanos > 0) {
       incrementIf(nowNanos - endpoint.ejectedAtNanos < MIN_EJECTION_NANOS, "decision panic");
       incrementIf(endpoint.attemptsElsewhere >= 3, "decision end of ejection");
@@ -221,9 +224,12 @@
     endpoints.values().forEach(e -> countAttemptElsewhere(e, e == endpoint));
   }
 
-  /** An ejection counts once others have been sent three requests and the shortest one is over. */
-  private void countAttemptElsewhere(Endpoint endpoint, boolean self) {
-    if (self || endpoint.ejectedAtNanos == 0 || !endpoint.state.equals("up")) {
+  /**
+   * Counts an ejection once other endpoints have been sent three requests and the shortest ejection
+   * time is over.
+   */
+  private void countAttemptElsewhere(Endpoint endpoint, boolean isSelf) {
+    if (isSelf || endpoint.ejectedAtNanos == 0 || !endpoint.state.equals("up")) {
       return;
     }
     endpoint.attemptsElsewhere++;
@@ -237,15 +243,15 @@
 
   private void countRejection(Request request, WireJson fields) {
     increment(
-        "decision declined "
+        "decision rejected "
             + (fields.integer("not-before-for-ns") > 0
                 ? "with retry-after"
                 : "without retry-after"));
     if (request.statuses.isEmpty()) {
       increment(
           nowNanos == request.arrivedAtNanos
-              ? "decision declined at once"
-              : "decision held then declined");
+              ? "decision rejected at once"
+              : "decision queued then rejected");
     }
     countIfRetryBudgetExhausted(request);
   }
@@ -255,7 +261,10 @@
     countIfRetryBudgetExhausted(request);
   }
 
-  /** An idempotent request that is given up although attempts and time are left. */
+  /**
+   * Counts an idempotent request that is given up although attempts and time are left and an
+   * endpoint is ready, which only an exhausted retry budget explains.
+   */
   private void countIfRetryBudgetExhausted(Request request) {
     incrementIf(
         request.requestClass.text("effect").equals("idempotent")
@@ -263,10 +272,12 @@
             && request.statuses.size() < settings.nested("limits").integer("max-attempts")
             && nowNanos < request.deadlineNanos - 300 * DecisionScenario.MILLISECOND_NANOS
             && endpoints.values().stream().anyMatch(e -> e.state.equals("up")),
-        "decision retry budget spent");
+        "decision retry budget exhausted");
   }
 
-  /** A request and the outcomes of its attempts, null for one that is out. */
+  /**
+   * A request and the outcomes of its attempts; the outcome is null while an attempt is in flight.
+   */
   private static final class Request {
     final WireJson requestClass;
     final long arrivedAtNanos;
@@ -284,7 +295,7 @@
     }
   }
 
-  /** An endpoint and its failures in a row. */
+  /** An endpoint and its number of consecutive failures. */
   private static final class Endpoint {
     String state = "up";
     long stateSinceNanos;
--- a/src/test/java/loadbalancer/simulator/ScenarioPlayer.java
+++ b/src/test/java/loadbalancer/simulator/ScenarioPlayer.java
@@ -16,9 +16,9 @@
 import loadbalancer.simulator.DecisionScenario.Traffic;
 
 /**
- * Plays a scenario to one instance of the decision engine as a closed loop: the events depend on
- * the actions in the replies. Its only randomness is a generator seeded by the scenario; it reads
- * no clock.
+ * Plays a scenario to one instance of the decision engine in a closed loop: the events depend on
+ * the actions in the replies. It is deterministic: it reads no clock, and its only randomness is a
+ * generator seeded by the scenario.
  */
 final class ScenarioPlayer implements UnaryOperator<String> {
 
@@ -47,7 +47,7 @@
   private int requestCount;
   private int batchCount;
   private int eventCount;
-  private double crowd = 1;
+  private double rateFactor = 1;
   private boolean isWatching;
   private int failingWatches;
 
@@ -62,12 +62,12 @@
     }
   }
 
-  /** How many events were sent. */
+  /** Returns the number of events sent so far. */
   int eventCount() {
     return eventCount;
   }
 
-  /** Carries out the actions of a reply and returns the next batch, or null at the end. */
+  /** Executes the actions of a reply and returns the next batch of events, or null at the end. */
   @Override
   public String apply(String reply) {
     if (reply == null) {
@@ -120,8 +120,8 @@
     return batch;
   }
 
-  private void schedule(long at, Runnable action) {
-    scheduledActions.add(new ScheduledAction(at, nextOrder++, action));
+  private void schedule(long atNanos, Runnable action) {
+    scheduledActions.add(new ScheduledAction(atNanos, nextOrder++, action));
   }
 
   private void send(String name, String fields) {
@@ -190,12 +190,13 @@
       scheduleEnd(attempt, FAST_RESPONSE_NANOS, "turned_away", limit);
       return;
     }
-    double queue = Math.max(1, (double) endpoint.inFlight / traffic.workersPerEndpoint());
+    double requestsPerWorker =
+        Math.max(1, (double) endpoint.inFlight / traffic.workersPerEndpoint());
     long latency =
         (long)
             (traffic.serviceTimeNanos()
                 * (0.5 + random.nextDouble())
-                * queue
+                * requestsPerWorker
                 * slowness
                 * slowStartFactor(endpoint)
                 * attempt.request.workFactor);
@@ -223,10 +224,10 @@
     }
   }
 
-  private void handleRejection(ClientRequest request, long notBefore) {
+  private void handleRejection(ClientRequest request, long retryAfterNanos) {
     request.isEnded = true;
     if (!request.isRetry && random.nextInt(3) == 0) {
-      schedule(nowNanos + notBefore + FAST_RESPONSE_NANOS, () -> sendRequest(request));
+      schedule(nowNanos + retryAfterNanos + FAST_RESPONSE_NANOS, () -> sendRequest(request));
     }
   }
 
@@ -262,7 +263,8 @@
   // Clients
 
   private void scheduleArrival() {
-    double gap = -StrictMath.log(1 - random.nextDouble()) / traffic.requestsPerSecond() / crowd;
+    double gap =
+        -StrictMath.log(1 - random.nextDouble()) / traffic.requestsPerSecond() / rateFactor;
     lastArrivalNanos += (long) (gap * DecisionScenario.SECOND_NANOS);
     schedule(
         lastArrivalNanos,
@@ -272,12 +274,12 @@
         });
   }
 
-  /** A new request, or the client's own retry of one that was declined. */
+  /** Sends a new request, or the client's retry of one that was rejected. */
   private void sendRequest(ClientRequest previous) {
     ClientRequest request =
         previous == null ? newRequest() : previous.retryAs("r" + ++requestCount);
-    long wait = request.timeoutNanos;
-    request.deadlineNanos = nowNanos + wait;
+    long timeoutNanos = request.timeoutNanos;
+    request.deadlineNanos = nowNanos + timeoutNanos;
     requests.put(request.id, request);
     send(
         "JobIn",
@@ -289,7 +291,8 @@
             + request.deadlineNanos
             + (request.isRetry ? ",\"retry\":true" : ""));
     if (random.nextDouble() < traffic.disconnectShare()) {
-      schedule(nowNanos + (long) (random.nextDouble() * wait / 16), () -> disconnect(request));
+      schedule(
+          nowNanos + (long) (random.nextDouble() * timeoutNanos / 16), () -> disconnect(request));
     }
     schedule(
         request.deadlineNanos + settings.nested("contract").integer("answer-slack-ns"),
@@ -314,10 +317,13 @@
     return request;
   }
 
-  /** A tenant by its portion; the first asks for more than that while there is a crowd. */
+  /**
+   * Chooses a tenant by the shares; while the request rate is raised, the first tenant exceeds its
+   * share.
+   */
   private String tenant() {
     List<WireJson> tenants = settings.objects("projects");
-    double point = crowd > 1 && random.nextBoolean() ? 0 : random.nextDouble();
+    double point = rateFactor > 1 && random.nextBoolean() ? 0 : random.nextDouble();
     for (WireJson tenant : tenants) {
       point -= tenant.number("portion");
       if (point < 0) {
@@ -345,8 +351,8 @@
 
   private void startIncident(Incident incident) {
     switch (incident.kind()) {
-      case CROWD -> crowd = 4;
-      case CALM -> crowd = 1;
+      case CROWD -> rateFactor = 4;
+      case CALM -> rateFactor = 1;
       case FULL_LIST -> sendFullList();
       case LIST_FAILURE -> failWatch();
       default -> affectedEndpoints(incident).forEach(e -> applyIncident(e, incident.kind()));
@@ -373,7 +379,7 @@
     }
   }
 
-  // The list
+  // The endpoint list
 
   private Endpoint endpoint(int number) {
     return endpoints.computeIfAbsent(
@@ -465,10 +471,10 @@
         + "}";
   }
 
-  /** Something that will happen. */
+  /** An action that is due at a clock reading; actions due at the same reading run in order. */
   private record ScheduledAction(long atNanos, long order, Runnable action) {}
 
-  /** An endpoint of the model. */
+  /** A simulated endpoint. */
   private static final class Endpoint {
     private static final double[] WEIGHTS = {1, 2, 1, 4, 0.5};
 
@@ -490,7 +496,7 @@
     }
   }
 
-  /** A client's request. */
+  /** A request of a simulated client. */
   private static final class ClientRequest {
     final String id;
     final List<Attempt> attempts = new ArrayList<>(1);
@@ -518,7 +524,7 @@
     }
   }
 
-  /** An attempt that the engine asked for. */
+  /** An attempt that the engine started. */
   private static final class Attempt {
     final ClientRequest request;
     final int number;
--- a/src/test/java/loadbalancer/simulator/ScenarioSettings.java
+++ b/src/test/java/loadbalancer/simulator/ScenarioSettings.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Writes the settings of a scenario as the wire's boot-info. */
+/** Builds the settings of a scenario, which are boot-info in the simulator's protocol. */
 final class ScenarioSettings {
 
   private final List<String> classes = new ArrayList<>();
@@ -18,19 +18,28 @@
   private boolean hedging = true;
   private boolean retryAfter = true;
 
-  /** A class with its effect ("deduplicated zone 400" names the scope and window as well). */
+  /**
+   * Adds a class of requests. The effect "deduplicated zone 400" also names the scope and the
+   * window in milliseconds.
+   */
   ScenarioSettings requestClass(
-      String name, String effect, int aimMillis, int deadlineMillis, int gain) {
-    return requestClass(name, effect, aimMillis, deadlineMillis, gain, false);
+      String name, String effect, int objectiveMillis, int deadlineMillis, int priorityWeight) {
+    return requestClass(name, effect, objectiveMillis, deadlineMillis, priorityWeight, false);
   }
 
-  /** A class whose answers are streams. */
-  ScenarioSettings streamingClass(String name, int aimMillis, int deadlineMillis, int gain) {
-    return requestClass(name, "idempotent", aimMillis, deadlineMillis, gain, true);
+  /** Adds a class of idempotent requests whose responses are streamed. */
+  ScenarioSettings streamingClass(
+      String name, int objectiveMillis, int deadlineMillis, int priorityWeight) {
+    return requestClass(name, "idempotent", objectiveMillis, deadlineMillis, priorityWeight, true);
   }
 
   private ScenarioSettings requestClass(
-      String name, String effect, int aimMillis, int deadlineMillis, int gain, boolean stream) {
+      String name,
+      String effect,
+      int objectiveMillis,
+      int deadlineMillis,
+      int priorityWeight,
+      boolean streaming) {
     String[] words = effect.split(" ", 0);
     classes.add(
         "{\"name\":\""
@@ -42,24 +51,24 @@
                 ? ""
                 : ",\"dedup-scope\":\"" + words[1] + "\",\"window-ns\":" + words[2] + "000000")
             + ",\"aim-ns\":"
-            + aimMillis
+            + objectiveMillis
             + "000000,\"deadline-ns\":"
             + deadlineMillis
             + "000000,\"gain\":"
-            + gain
+            + priorityWeight
             + ",\"stream\":"
-            + stream
+            + streaming
             + "}");
     return this;
   }
 
-  /** A tenant; the quota is 0 where none is stated. */
-  ScenarioSettings tenant(String name, double portion, int quotaPerSecond) {
+  /** Adds a tenant; a quota of 0 means that none is stated. */
+  ScenarioSettings tenant(String name, double share, int quotaPerSecond) {
     tenants.add(
         "{\"name\":\""
             + name
             + "\",\"portion\":"
-            + portion
+            + share
             + (quotaPerSecond > 0 ? ",\"quota-per-s\":" + quotaPerSecond : "")
             + "}");
     return this;
@@ -85,8 +94,8 @@
     return this;
   }
 
-  ScenarioSettings slowStart(double coldFrom, int warmWithinMillis, int fallMultiple) {
-    contract = contract(coldFrom, warmWithinMillis, fallMultiple);
+  ScenarioSettings slowStart(double initialCapacity, int slowStartMillis, int overloadMultiple) {
+    contract = contract(initialCapacity, slowStartMillis, overloadMultiple);
     return this;
   }
 
@@ -101,15 +110,16 @@
     return this;
   }
 
-  private static String contract(double coldFrom, int warmWithinMillis, int fallMultiple) {
+  private static String contract(
+      double initialCapacity, int slowStartMillis, int overloadMultiple) {
     return String.format(
         Locale.ROOT,
         "{\"answer-slack-ns\":50000000,\"ask-within-ns\":10000000000,\"drain-grace-ns\":500000000,"
             + "\"cold-from\":%s,\"warm-within-ns\":%d000000,\"fall-multiple\":%d,"
             + "\"overload-for-ns\":2000000000}",
-        coldFrom,
-        warmWithinMillis,
-        fallMultiple);
+        initialCapacity,
+        slowStartMillis,
+        overloadMultiple);
   }
 
   String toJson() {
--- a/src/test/java/loadbalancer/simulator/SimulatorAdapterTest.java
+++ b/src/test/java/loadbalancer/simulator/SimulatorAdapterTest.java
@@ -27,7 +27,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The protocol: conversations byte for byte, every action, and each kind of malformed input. */
+/**
+ * Checks the simulator's protocol: conversations byte for byte, every action, and each kind of
+ * malformed input.
+ */
 class SimulatorAdapterTest {
 
   private static final String CLASS =
@@ -181,13 +184,14 @@
 
   @Test
   void rejectsInvalidSettingsByName() {
-    MalformedInputException none =
+    MalformedInputException withoutClasses =
         assertThrows(MalformedInputException.class, () -> exchange(PROVISION.replace(CLASS, "")));
-    assertEquals("line 1: settings: classes must not be empty", none.getMessage());
-    MalformedInputException negative =
+    assertEquals("line 1: settings: classes must not be empty", withoutClasses.getMessage());
+    MalformedInputException negativeObjective =
         assertThrows(
             MalformedInputException.class,
             () -> exchange(PROVISION.replace("\"aim-ns\":400000000", "\"aim-ns\":-4")));
-    assertEquals("line 1: settings: aim of class c must be above 0", negative.getMessage());
+    assertEquals(
+        "line 1: settings: aim of class c must be above 0", negativeObjective.getMessage());
   }
 }
--- a/src/test/java/loadbalancer/simulator/WireJson.java
+++ b/src/test/java/loadbalancer/simulator/WireJson.java
@@ -10,7 +10,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** A JSON object of the wire, read by the tests without the product's own decoder. */
+/**
+ * A JSON object of the simulator's protocol, read independently of the decoder in the main code.
+ */
 record WireJson(Map<?, ?> values) {
 
   private static final JsonFactory FACTORY = new JsonFactory();
@@ -87,7 +89,7 @@
     return objects;
   }
 
-  /** The name of a message: the only key of its object. */
+  /** Returns the name of a message, which is the only key of its object. */
   String messageName() {
     return (String) values.keySet().iterator().next();
   }
@@ -96,7 +98,10 @@
     return nested(messageName());
   }
 
-  /** The messages of the only balancer in a batch ("msgs") or in a reply ("actions"). */
+  /**
+   * Returns the messages of the only instance in a batch ("msgs") or its actions in a reply
+   * ("actions").
+   */
   List<WireJson> messages(String list) {
     List<WireJson> messages = new ArrayList<>();
     objects("groups").forEach(group -> messages.addAll(group.objects(list)));
