--- a/src/test/java/loadbalancer/simulator/ScenarioSettings.java
+++ b/src/test/java/loadbalancer/simulator/ScenarioSettings.java
@@ -4,32 +4,42 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Writes the settings of a scenario as the wire's boot-info. */
+/** Builds the settings of a scenario, which are boot-info in the simulator's protocol. */
 final class ScenarioSettings {
 
   private final List<String> classes = new ArrayList<>();
   private final List<String> tenants = new ArrayList<>();
-  private String listMode = "pushed";
+  private String discoveryMode = "pushed";
   private String weightKind = "none";
   private String contract = contract(0.2, 8000, 2);
   private int groupSize = 1;
-  private boolean warmKeys;
-  private boolean cancel = true;
-  private boolean secondCopies = true;
+  private boolean keyAffinity;
+  private boolean cancellation = true;
+  private boolean hedging = true;
   private boolean retryAfter = true;
 
-  /** A class with its effect ("deduplicated zone 400" names the scope and window as well). */
-  ScenarioSettings type(String name, String effect, int aimMillis, int deadlineMillis, int gain) {
-    return type(name, effect, aimMillis, deadlineMillis, gain, false);
+  /**
+   * Adds a class of requests. The effect "deduplicated zone 400" also names the scope and the
+   * window in milliseconds.
+   */
+  ScenarioSettings requestClass(
+      String name, String effect, int objectiveMillis, int deadlineMillis, int priorityWeight) {
+    return requestClass(name, effect, objectiveMillis, deadlineMillis, priorityWeight, false);
   }
 
-  /** A class whose answers are streams. */
-  ScenarioSettings stream(String name, int aimMillis, int deadlineMillis, int gain) {
-    return type(name, "idempotent", aimMillis, deadlineMillis, gain, true);
+  /** Adds a class of idempotent requests whose responses are streamed. */
+  ScenarioSettings streamingClass(
+      String name, int objectiveMillis, int deadlineMillis, int priorityWeight) {
+    return requestClass(name, "idempotent", objectiveMillis, deadlineMillis, priorityWeight, true);
   }
 
-  private ScenarioSettings type(
-      String name, String effect, int aimMillis, int deadlineMillis, int gain, boolean stream) {
+  private ScenarioSettings requestClass(
+      String name,
+      String effect,
+      int objectiveMillis,
+      int deadlineMillis,
+      int priorityWeight,
+      boolean streaming) {
     String[] words = effect.split(" ", 0);
     classes.add(
         "{\"name\":\""
@@ -41,57 +51,57 @@
                 ? ""
                 : ",\"dedup-scope\":\"" + words[1] + "\",\"window-ns\":" + words[2] + "000000")
             + ",\"aim-ns\":"
-            + aimMillis
+            + objectiveMillis
             + "000000,\"deadline-ns\":"
             + deadlineMillis
             + "000000,\"gain\":"
-            + gain
+            + priorityWeight
             + ",\"stream\":"
-            + stream
+            + streaming
             + "}");
     return this;
   }
 
-  /** A tenant; the quota is 0 where none is stated. */
-  ScenarioSettings tenant(String name, double portion, int quotaPerSecond) {
+  /** Adds a tenant; a quota of 0 means that none is stated. */
+  ScenarioSettings tenant(String name, double share, int quotaPerSecond) {
     tenants.add(
         "{\"name\":\""
             + name
             + "\",\"portion\":"
-            + portion
+            + share
             + (quotaPerSecond > 0 ? ",\"quota-per-s\":" + quotaPerSecond : "")
             + "}");
     return this;
   }
 
-  ScenarioSettings polledList() {
-    listMode = "on_request";
+  ScenarioSettings polledDiscovery() {
+    discoveryMode = "on_request";
     return this;
   }
 
-  ScenarioSettings weights(String kind) {
+  ScenarioSettings weightKind(String kind) {
     weightKind = kind;
     return this;
   }
 
-  ScenarioSettings groupOf(int instances) {
+  ScenarioSettings groupSize(int instances) {
     groupSize = instances;
     return this;
   }
 
-  ScenarioSettings warmKeys() {
-    warmKeys = true;
+  ScenarioSettings keyAffinity() {
+    keyAffinity = true;
     return this;
   }
 
-  ScenarioSettings slowStart(double coldFrom, int warmWithinMillis, int fallMultiple) {
-    contract = contract(coldFrom, warmWithinMillis, fallMultiple);
+  ScenarioSettings slowStart(double initialCapacity, int slowStartMillis, int overloadMultiple) {
+    contract = contract(initialCapacity, slowStartMillis, overloadMultiple);
     return this;
   }
 
   ScenarioSettings withoutHedges() {
-    cancel = false;
-    secondCopies = false;
+    cancellation = false;
+    hedging = false;
     return this;
   }
 
@@ -100,38 +110,39 @@
     return this;
   }
 
-  private static String contract(double coldFrom, int warmWithinMillis, int fallMultiple) {
+  private static String contract(
+      double initialCapacity, int slowStartMillis, int overloadMultiple) {
     return String.format(
         Locale.ROOT,
         "{\"answer-slack-ns\":50000000,\"ask-within-ns\":10000000000,\"drain-grace-ns\":500000000,"
             + "\"cold-from\":%s,\"warm-within-ns\":%d000000,\"fall-multiple\":%d,"
             + "\"overload-for-ns\":2000000000}",
-        coldFrom,
-        warmWithinMillis,
-        fallMultiple);
+        initialCapacity,
+        slowStartMillis,
+        overloadMultiple);
   }
 
-  String json() {
+  String toJson() {
     return "{\"categories\":["
         + String.join(",", classes)
         + "],\"contract\":"
         + contract
         + ",\"domain\":{\"warm-keys\":"
-        + warmKeys
+        + keyAffinity
         + "},\"group-size\":"
         + groupSize
         + ",\"limits\":{\"cancel\":"
-        + cancel
+        + cancellation
         + ",\"max-attempts\":4,\"most-held\":300,"
         + "\"retry-after\":"
         + retryAfter
         + ",\"max-retry-after-ns\":2500000000,"
         + "\"second-copies\":"
-        + secondCopies
+        + hedging
         + "},\"me\":0,\"over-share-worth\":0.05"
         + (tenants.isEmpty() ? "" : ",\"projects\":[" + String.join(",", tenants) + "]")
         + ",\"registry-mode\":\""
-        + listMode
+        + discoveryMode
         + "\",\"resolution-ns\":30000000,\"weight-kind\":\""
         + weightKind
         + "\",\"zone\":\"a\"}";
--- a/src/test/java/loadbalancer/telemetry/LogValuesTest.java
+++ b/src/test/java/loadbalancer/telemetry/LogValuesTest.java
@@ -11,9 +11,12 @@
     assertEquals("f3a-9_x.7:1/é", LogValues.quoteIfNeeded("f3a-9_x.7:1/é"));
   }
 
-  /** A client chooses its trace ids: none may look like another key, or like another line. */
+  /**
+   * Clients choose their trace ids, so a trace id must not be able to look like another key or
+   * another line.
+   */
   @Test
-  void quotesWhatCouldBreakALine() {
+  void quotesTextsThatCouldBreakALine() {
     assertEquals("\"\"", LogValues.quoteIfNeeded(""));
     assertEquals("\"a status=200\"", LogValues.quoteIfNeeded("a status=200"));
     assertEquals("\"a\\\"b\\\\c\"", LogValues.quoteIfNeeded("a\"b\\c"));
