--- a/src/main/java/loadbalancer/Main.java
+++ b/src/main/java/loadbalancer/Main.java
@@ -10,7 +10,7 @@
 /** Entry point: runs the subcommand that the command line names. */
 public final class Main {
 
-  private static final int WRONG_USAGE = 2;
+  private static final int USAGE_ERROR_STATUS = 2;
 
   private Main() {}
 
@@ -37,7 +37,7 @@
       case "drill" -> SimulateCommand.run(in, out, err);
       default -> {
         printUsage(err);
-        yield WRONG_USAGE;
+        yield USAGE_ERROR_STATUS;
       }
     };
   }
--- a/src/main/java/loadbalancer/downstream/AcceptRetryHandler.java
+++ b/src/main/java/loadbalancer/downstream/AcceptRetryHandler.java
@@ -15,7 +15,7 @@
 final class AcceptRetryHandler extends ChannelInboundHandlerAdapter {
 
   /** Short against every deadline, and long enough not to spin while the failure lasts. */
-  static final long RETRY_MILLIS = 10;
+  static final long RETRY_DELAY_MILLIS = 10;
 
   private static final Logger LOG = Logger.getLogger(AcceptRetryHandler.class.getName());
 
@@ -48,6 +48,7 @@
     listener.config().setAutoRead(false);
     listener
         .eventLoop()
-        .schedule(() -> listener.config().setAutoRead(true), RETRY_MILLIS, TimeUnit.MILLISECONDS);
+        .schedule(
+            () -> listener.config().setAutoRead(true), RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
   }
 }
--- a/src/main/java/loadbalancer/downstream/ClientConnection.java
+++ b/src/main/java/loadbalancer/downstream/ClientConnection.java
@@ -34,7 +34,7 @@
    * A request that waits for its turn longer than this beyond its deadline gets its response at the
    * expense of the one before it. Within half a second it only earns nothing.
    */
-  private static final long OVERDUE_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
+  private static final long OVERDUE_GRACE_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
 
   private final Channel channel;
   private final RequestHandler handler;
@@ -113,7 +113,7 @@
     if (!request.decoderResult().isSuccess()) {
       input.discard();
     }
-    long arrivedAtNanos = router.arrivalNanos() - input.backlogNanos();
+    long arrivedAtNanos = router.earliestArrivalNanos() - input.acceptDelayNanos();
     if (!responsePending) {
       serve(request, arrivedAtNanos);
     } else {
@@ -123,20 +123,20 @@
 
   private void queue(FullHttpRequest request, long arrivedAtNanos) {
     long deadlineNanos = router.deadlineNanos(request, arrivedAtNanos);
-    if (!pipelined.offer(request, arrivedAtNanos, deadlineNanos)) {
+    if (!pipelined.enqueue(request, arrivedAtNanos, deadlineNanos)) {
       input.discard();
     }
     channel
         .eventLoop()
         .schedule(
-            this::giveUpWhatHoldsUpOthers,
-            deadlineNanos + OVERDUE_NANOS - router.nowNanos(),
+            this::abortRequestBlockingOverdue,
+            deadlineNanos + OVERDUE_GRACE_NANOS - router.nowNanos(),
             TimeUnit.NANOSECONDS);
   }
 
   /** Responses keep their order: one that waits for its turn must not come too late for that. */
-  private void giveUpWhatHoldsUpOthers() {
-    if (currentRequest != null && pipelined.hasOverdue(router.nowNanos() - OVERDUE_NANOS)) {
+  private void abortRequestBlockingOverdue() {
+    if (currentRequest != null && pipelined.hasOverdue(router.nowNanos() - OVERDUE_GRACE_NANOS)) {
       handler.abort(currentRequest.traceId());
     }
   }
@@ -192,7 +192,7 @@
       input.discard();
       if (!responsePending) {
         responsePending = true;
-        reply(LocalReply.failed(cause));
+        reply(LocalReply.forFailure(cause));
       }
     }
     // Any other failure concerns discarded input; requests before it still get their responses.
@@ -231,7 +231,7 @@
 
   private void serve(FullHttpRequest request, long arrivedAtNanos) {
     responsePending = true;
-    input.requestTaken();
+    input.requestCompleted();
     currentBodyBytes = request.content().readableBytes();
     connections.setState(this, State.SERVING);
     // A response to HEAD has no body, and the error that HEAD gets has one: nothing may follow it.
@@ -241,7 +241,7 @@
       accepted.message().retain();
       currentRequest = accepted;
       handler.accept(accepted);
-      giveUpWhatHoldsUpOthers();
+      abortRequestBlockingOverdue();
     } else {
       reply((LocalReply) result);
     }
@@ -308,7 +308,7 @@
   private void serveNext() {
     responsePending = false;
     aggregator.release(currentBodyBytes);
-    PipelinedRequests.Waiting next = pipelined.poll();
+    PipelinedRequests.QueuedRequest next = pipelined.poll();
     if (next != null) {
       serve(next.request(), next.arrivedAtNanos());
       next.request().release();
--- a/src/main/java/loadbalancer/downstream/ClientInput.java
+++ b/src/main/java/loadbalancer/downstream/ClientInput.java
@@ -29,7 +29,7 @@
   private boolean discarded;
 
   /** How long what is being read may have waited for the connection to be accepted. */
-  private long backlogNanos;
+  private long acceptDelayNanos;
 
   ClientInput(Channel channel) {
     this.channel = channel;
@@ -52,8 +52,8 @@
     return discarded;
   }
 
-  long backlogNanos() {
-    return backlogNanos;
+  long acceptDelayNanos() {
+    return acceptDelayNanos;
   }
 
   /** From here on bytes are read, to notice a disconnect, and not decoded. */
@@ -75,7 +75,7 @@
   }
 
   /** The request that was arriving is complete, and about to be served. */
-  void requestTaken() {
+  void requestCompleted() {
     partialRequest = false;
   }
 
@@ -94,10 +94,10 @@
    * waited as long. What comes later has not.
    */
   void readBacklog() {
-    backlogNanos = ClientChannel.waitedNanos(channel);
-    if (backlogNanos > 0) {
+    acceptDelayNanos = ClientChannel.acceptDelayNanos(channel);
+    if (acceptDelayNanos > 0) {
       readPending();
-      backlogNanos = 0;
+      acceptDelayNanos = 0;
     }
   }
 }
--- a/src/main/java/loadbalancer/downstream/DownstreamListener.java
+++ b/src/main/java/loadbalancer/downstream/DownstreamListener.java
@@ -19,11 +19,12 @@
  */
 public final class DownstreamListener {
 
-  private static final long EXPIRY_CHECK_MILLIS = 100;
+  private static final long EXPIRY_CHECK_PERIOD_MILLIS = 100;
 
   /**
    * The queue of pending connections counts as empty once it was found so this many times, {@link
-   * AcceptRetryHandler#RETRY_MILLIS} apart: a call of accept that was interrupted looks the same.
+   * AcceptRetryHandler#RETRY_DELAY_MILLIS} apart: a call of accept that was interrupted looks the
+   * same.
    */
   private static final int EMPTY_QUEUE_CHECKS = 2;
 
@@ -85,8 +86,8 @@
           .eventLoop()
           .scheduleWithFixedDelay(
               connections::closeExpired,
-              EXPIRY_CHECK_MILLIS,
-              EXPIRY_CHECK_MILLIS,
+              EXPIRY_CHECK_PERIOD_MILLIS,
+              EXPIRY_CHECK_PERIOD_MILLIS,
               TimeUnit.MILLISECONDS);
     }
   }
@@ -119,7 +120,7 @@
         .eventLoop()
         .schedule(
             () -> stopAccepting(nextChecks),
-            AcceptRetryHandler.RETRY_MILLIS,
+            AcceptRetryHandler.RETRY_DELAY_MILLIS,
             TimeUnit.MILLISECONDS);
   }
 
--- a/src/main/java/loadbalancer/downstream/ListenerChannel.java
+++ b/src/main/java/loadbalancer/downstream/ListenerChannel.java
@@ -10,13 +10,13 @@
 public final class ListenerChannel extends NioServerSocketChannel {
 
   /** The queue is surely empty of what waited so long after accepting has recovered. */
-  private static final long CATCH_UP_NANOS = TimeUnit.SECONDS.toNanos(1);
+  private static final long RECOVERY_NANOS = TimeUnit.SECONDS.toNanos(1);
 
   /** When accepting failed for the first time since the queue was empty; 0 if it did not. */
   private long failingSinceNanos;
 
   /** When it succeeded again; 0 if it has not yet. */
-  private long recoveredNanos;
+  private long recoveredAtNanos;
 
   @Override
   protected int doReadMessages(List<Object> accepted) throws IOException {
@@ -25,16 +25,16 @@
       failingSinceNanos = 0;
       return 0;
     }
-    accepted.add(new ClientChannel(this, socket, waitedNanos(System.nanoTime())));
+    accepted.add(new ClientChannel(this, socket, acceptDelayNanos(System.nanoTime())));
     return 1;
   }
 
-  private long waitedNanos(long nowNanos) {
+  private long acceptDelayNanos(long nowNanos) {
     if (failingSinceNanos == 0) {
       return 0;
     }
-    recoveredNanos = recoveredNanos == 0 ? nowNanos : recoveredNanos;
-    if (nowNanos - recoveredNanos > CATCH_UP_NANOS) {
+    recoveredAtNanos = recoveredAtNanos == 0 ? nowNanos : recoveredAtNanos;
+    if (nowNanos - recoveredAtNanos > RECOVERY_NANOS) {
       // The queue was never seen empty: as many waited in it as are accepted in one turn.
       failingSinceNanos = 0;
       return 0;
@@ -47,7 +47,7 @@
       return javaChannel().accept();
     } catch (IOException e) {
       failingSinceNanos = failingSinceNanos == 0 ? System.nanoTime() : failingSinceNanos;
-      recoveredNanos = 0;
+      recoveredAtNanos = 0;
       throw e;
     }
   }
--- a/src/main/java/loadbalancer/downstream/LocalReply.java
+++ b/src/main/java/loadbalancer/downstream/LocalReply.java
@@ -19,14 +19,14 @@
   }
 
   /** The error for a request that could not be read, by its own fault or by the proxy's. */
-  static LocalReply failed(Throwable cause) {
+  static LocalReply forFailure(Throwable cause) {
     return cause instanceof CodecException
-        ? undecodable(cause)
+        ? forDecodingFailure(cause)
         : new LocalReply(HttpResponseStatus.INTERNAL_SERVER_ERROR, "request cannot be read");
   }
 
   /** The error for a request whose decoding failed. */
-  static LocalReply undecodable(Throwable cause) {
+  static LocalReply forDecodingFailure(Throwable cause) {
     if (cause instanceof TooLongHttpContentException) {
       return new LocalReply(
           HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "request body exceeds its limit");
--- a/src/main/java/loadbalancer/downstream/PipelinedRequests.java
+++ b/src/main/java/loadbalancer/downstream/PipelinedRequests.java
@@ -13,21 +13,21 @@
   private static final int MAX_REQUESTS = 32;
 
   /** What a waiting request takes in memory beside the text of its head, in bytes. */
-  private static final long REQUEST_BYTES = 512;
+  private static final long REQUEST_OVERHEAD_BYTES = 512;
 
   /** What each of its headers takes beside its text, in bytes. */
-  private static final long HEADER_BYTES = 96;
+  private static final long HEADER_OVERHEAD_BYTES = 96;
 
   /**
    * A request that waits; its client's timeout runs from its arrival on.
    *
    * @param deadlineNanos clock reading at which that is over
    */
-  record Waiting(
+  record QueuedRequest(
       FullHttpRequest request, long arrivedAtNanos, long deadlineNanos, long headBytes) {}
 
   private final BodyBudget budget;
-  private final ArrayDeque<Waiting> queue = new ArrayDeque<>(1);
+  private final ArrayDeque<QueuedRequest> queue = new ArrayDeque<>(1);
 
   /** Makes an empty queue; the heads of its requests count against the budget. */
   PipelinedRequests(BodyBudget budget) {
@@ -43,30 +43,30 @@
    * The request then counts as one whose decoding failed, and its error ends the connection in its
    * turn.
    */
-  boolean offer(FullHttpRequest request, long arrivedAtNanos, long deadlineNanos) {
+  boolean enqueue(FullHttpRequest request, long arrivedAtNanos, long deadlineNanos) {
     long headBytes = headBytes(request);
     if (queue.size() < MAX_REQUESTS && budget.tryReserve(headBytes)) {
-      queue.add(new Waiting(request.retain(), arrivedAtNanos, deadlineNanos, headBytes));
+      queue.add(new QueuedRequest(request.retain(), arrivedAtNanos, deadlineNanos, headBytes));
       return true;
     }
     request.setDecoderResult(
         DecoderResult.failure(new TooLongFrameException("too many pipelined requests")));
-    queue.add(new Waiting(request.retain(), arrivedAtNanos, deadlineNanos, 0));
+    queue.add(new QueuedRequest(request.retain(), arrivedAtNanos, deadlineNanos, 0));
     return false;
   }
 
   /** About what a request's head takes in memory. */
   private static long headBytes(FullHttpRequest request) {
-    long bytes = REQUEST_BYTES + request.uri().length();
+    long bytes = REQUEST_OVERHEAD_BYTES + request.uri().length();
     for (Map.Entry<String, String> header : request.headers()) {
-      bytes += HEADER_BYTES + header.getKey().length() + header.getValue().length();
+      bytes += HEADER_OVERHEAD_BYTES + header.getKey().length() + header.getValue().length();
     }
     return bytes;
   }
 
   /** The next request, which is the caller's to release; null for none. */
-  Waiting poll() {
-    Waiting next = queue.poll();
+  QueuedRequest poll() {
+    QueuedRequest next = queue.poll();
     if (next != null) {
       budget.release(next.headBytes());
     }
@@ -75,8 +75,8 @@
 
   /** Whether the time of a request that waits is over at a clock reading. */
   boolean hasOverdue(long nowNanos) {
-    for (Waiting waiting : queue) {
-      if (nowNanos >= waiting.deadlineNanos()) {
+    for (QueuedRequest queued : queue) {
+      if (nowNanos >= queued.deadlineNanos()) {
         return true;
       }
     }
@@ -84,8 +84,8 @@
   }
 
   void releaseAll() {
-    for (Waiting waiting = poll(); waiting != null; waiting = poll()) {
-      waiting.request().release();
+    for (QueuedRequest queued = poll(); queued != null; queued = poll()) {
+      queued.request().release();
     }
   }
 }
--- a/src/main/java/loadbalancer/downstream/RequestParser.java
+++ b/src/main/java/loadbalancer/downstream/RequestParser.java
@@ -30,7 +30,7 @@
   private static final long MAX_TIMEOUT_MILLIS = 1_000_000_000L;
 
   /** Characters of a trace id, tenant or affinity key: these outlive the request in memory. */
-  private static final int MAX_NAME_LENGTH = 128;
+  private static final int MAX_IDENTIFIER_LENGTH = 128;
 
   /** The client's timeout starts when it sends the request and ends when it has the response. */
   private static final long NETWORK_ALLOWANCE_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
@@ -56,7 +56,7 @@
   }
 
   /** Clock reading at which a request that is read now arrived at the latest. */
-  long arrivalNanos() {
+  long earliestArrivalNanos() {
     return clock.nowNanos() - lagMonitor.lagNanos();
   }
 
@@ -71,21 +71,21 @@
    */
   long deadlineNanos(FullHttpRequest request, long arrivedAtNanos) {
     RequestClass requestClass = classes.get(request.headers().get(HttpProtocol.CLASS_HEADER, ""));
-    long mostNanos = requestClass == null ? longestDeadlineNanos : requestClass.deadlineNanos();
+    long maxNanos = requestClass == null ? longestDeadlineNanos : requestClass.deadlineNanos();
     long timeoutMillis = Math.max(0, timeoutMillis(request.headers()));
-    return arrivedAtNanos + Math.min(mostNanos, TimeUnit.MILLISECONDS.toNanos(timeoutMillis));
+    return arrivedAtNanos + Math.min(maxNanos, TimeUnit.MILLISECONDS.toNanos(timeoutMillis));
   }
 
   /**
    * Parses a decoded request without retaining it, or says what is wrong with it.
    *
-   * @param arrivedAtNanos its {@link #arrivalNanos}, from which its timeout runs
+   * @param arrivedAtNanos its {@link #earliestArrivalNanos}, from which its timeout runs
    * @param response where its response goes
    */
   RoutingResult parse(FullHttpRequest request, long arrivedAtNanos, ResponseSink response) {
     HttpHeaders headers = request.headers();
     String traceId = headers.get(HttpProtocol.TRACE_ID_HEADER, "");
-    if (traceId.isEmpty() || traceId.length() > MAX_NAME_LENGTH) {
+    if (traceId.isEmpty() || traceId.length() > MAX_IDENTIFIER_LENGTH) {
       return badRequest(HttpProtocol.TRACE_ID_HEADER + " is missing or too long");
     }
     RequestClass requestClass = classes.get(headers.get(HttpProtocol.CLASS_HEADER, ""));
@@ -115,7 +115,7 @@
     if (!tenants.isEmpty() && !tenants.contains(tenant)) {
       return badRequest(HttpProtocol.TENANT_HEADER + " names no known tenant");
     }
-    if (tenant.length() > MAX_NAME_LENGTH) {
+    if (tenant.length() > MAX_IDENTIFIER_LENGTH) {
       return badRequest(HttpProtocol.TENANT_HEADER + " is too long");
     }
     return null;
@@ -168,7 +168,7 @@
     for (String header : headers.getAll(HttpHeaderNames.COOKIE)) {
       for (Cookie cookie : ServerCookieDecoder.LAX.decode(header)) {
         if (cookie.name().equals(HttpProtocol.AFFINITY_COOKIE)) {
-          return boundedKey(cookie.value());
+          return hashIfTooLong(cookie.value());
         }
       }
     }
@@ -176,8 +176,8 @@
   }
 
   /** Keys stay in memory, so that a long one is replaced by its hash. */
-  private static String boundedKey(String key) {
-    return key.length() <= MAX_NAME_LENGTH ? key : Integer.toHexString(key.hashCode());
+  private static String hashIfTooLong(String key) {
+    return key.length() <= MAX_IDENTIFIER_LENGTH ? key : Integer.toHexString(key.hashCode());
   }
 
   /** The number, or -1 for anything but 1 to {@link #MAX_DIGITS} decimal digits. */
--- a/src/main/java/loadbalancer/downstream/RequestRouter.java
+++ b/src/main/java/loadbalancer/downstream/RequestRouter.java
@@ -19,8 +19,8 @@
   }
 
   /** Clock reading at which a request that is read now arrived at the latest. */
-  long arrivalNanos() {
-    return parser.arrivalNanos();
+  long earliestArrivalNanos() {
+    return parser.earliestArrivalNanos();
   }
 
   /** Clock reading at which a request's time is over, if it is well-formed. */
@@ -36,7 +36,8 @@
   /**
    * Routes a request in its turn, without retaining it.
    *
-   * @param arrivedAtNanos its {@link #arrivalNanos}: pipelined ones have waited for their turn
+   * @param arrivedAtNanos its {@link #earliestArrivalNanos}: pipelined ones have waited for their
+   *     turn
    * @param response where the handler is to respond to it
    * @param clientHalfClosed whether its client has ended its sending
    */
@@ -46,7 +47,7 @@
       ResponseSink response,
       boolean clientHalfClosed) {
     if (!request.decoderResult().isSuccess()) {
-      return LocalReply.undecodable(request.decoderResult().cause());
+      return LocalReply.forDecodingFailure(request.decoderResult().cause());
     }
     if (hasPath(request, HttpProtocol.HEALTH_PATH)) {
       return healthCheckReply();
--- a/src/test/java/loadbalancer/ArchitectureTest.java
+++ b/src/test/java/loadbalancer/ArchitectureTest.java
@@ -54,7 +54,7 @@
    * No I/O, no clock, no threads, no logging, no libraries: only these, and no part of them below.
    */
   @ArchTest
-  final ArchRule decisionsDependOnNothingButThemselves =
+  final ArchRule decisionsDependOnlyOnThemselves =
       classes()
           .that()
           .resideInAPackage("loadbalancer.decision..")
@@ -69,7 +69,7 @@
 
   /** What java.lang and java.util hold of clocks, environment, processes, threads and input. */
   @ArchTest
-  final ArchRule decisionsReachNoClockNoEnvironmentAndNoThread =
+  final ArchRule decisionsUseNoClocksEnvironmentOrThreads =
       noClasses()
           .that()
           .resideInAPackage("loadbalancer.decision..")
@@ -84,7 +84,7 @@
 
   /** The only chance in a decision is the seed that it was handed. */
   @ArchTest
-  final ArchRule decisionsTakeChanceFromTheirSeedAlone =
+  final ArchRule decisionsUseNoRandomnessButTheirSeed =
       noClasses()
           .that()
           .resideInAPackage("loadbalancer.decision..")
@@ -98,7 +98,7 @@
           .callConstructor(SplittableRandom.class);
 
   @ArchTest
-  final ArchRule theInterfaceOfDecisionsKnowsNothingBehindIt =
+  final ArchRule decisionApiDependsOnlyOnItself =
       classes()
           .that()
           .resideInAPackage("loadbalancer.decision.api..")
@@ -125,10 +125,10 @@
   private static final Set<String> COMMON = Set.of("decision.api", "http", "json", "net");
 
   @ArchTest
-  void packagesUseOnlyWhatTheyMay(JavaClasses classes) {
+  void packagesUseOnlyAllowedPackages(JavaClasses classes) {
     ALLOWED.forEach(
         (name, allowed) -> {
-          DescribedPredicate<JavaClass> own =
+          DescribedPredicate<JavaClass> allowedPackages =
               resideInAnyPackage(
                   Stream.of(Stream.of(name), allowed.stream(), COMMON.stream())
                       .flatMap(packages -> packages)
@@ -138,7 +138,7 @@
               .that()
               .resideInAPackage("loadbalancer." + name + "..")
               .should()
-              .dependOnClassesThat(resideInAPackage("loadbalancer..").and(not(own)))
+              .dependOnClassesThat(resideInAPackage("loadbalancer..").and(not(allowedPackages)))
               .check(classes);
         });
   }
@@ -154,7 +154,7 @@
           .resideInAnyPackage("sun..", "com.sun..", "jdk..");
 
   @ArchTest
-  final ArchRule nothingDependsOnTheRoot =
+  final ArchRule noPackageDependsOnTheRoot =
       noClasses()
           .that()
           .resideInAPackage("loadbalancer.*..")
@@ -163,7 +163,7 @@
           .resideInAPackage("loadbalancer");
 
   @ArchTest
-  final ArchRule onlyTheRootKnowsTheSimulator =
+  final ArchRule onlyTheRootDependsOnTheSimulator =
       noClasses()
           .that()
           .resideInAPackage("loadbalancer.*..")
@@ -174,7 +174,7 @@
           .resideInAPackage("loadbalancer.simulator..");
 
   @ArchTest
-  final ArchRule theProgramKnowsNoTestsAndNoTools =
+  final ArchRule mainCodeDependsOnNoTestOrBuildTools =
       noClasses()
           .should()
           .dependOnClassesThat()
@@ -188,7 +188,7 @@
               "com.diffplug..");
 
   @ArchTest
-  void topPackagesAreThoseNamedHere(JavaClasses classes) {
+  void topPackagesAreThoseListed(JavaClasses classes) {
     Set<String> found =
         classes.stream()
             .map(JavaClass::getPackageName)
@@ -199,7 +199,7 @@
   }
 
   @ArchTest
-  void everyPackageSaysWhatItIs(JavaClasses classes) {
+  void everyPackageHasAPackageInfo(JavaClasses classes) {
     for (String name :
         classes.stream().map(JavaClass::getPackageName).collect(Collectors.toSet())) {
       Path file = SOURCES.resolve(name.replace('.', '/')).resolve("package-info.java");
--- a/src/test/java/loadbalancer/DeploymentTest.java
+++ b/src/test/java/loadbalancer/DeploymentTest.java
@@ -23,12 +23,12 @@
 class DeploymentTest {
 
   /** Index of the page faults of ended children in /proc/PID/stat, counted from behind the name. */
-  private static final int CHILDREN_FAULTS = 8;
+  private static final int CHILD_FAULTS_INDEX = 8;
 
   @TempDir Path folder;
 
   @BeforeEach
-  void standIn() throws IOException {
+  void installStubJava() throws IOException {
     Files.writeString(
         folder.resolve("java"),
         "#!/bin/sh\nread -r stat < /proc/self/stat\nprintf '%s\\n' \"$stat\" \"$@\"\n");
@@ -36,7 +36,7 @@
         folder.resolve("java"), PosixFilePermissions.fromString("rwxr-xr-x"));
   }
 
-  private record Start(long shell, String stat, List<String> arguments) {}
+  private record Start(long shellPid, String stat, List<String> arguments) {}
 
   private Start run(String config) throws IOException, InterruptedException {
     Files.writeString(folder.resolve("config"), config);
@@ -60,10 +60,11 @@
   private void assertSizes(int heap, int buffers, String limits)
       throws IOException, InterruptedException {
     List<String> arguments = run("{\"limits\":{" + limits + "},\"settings\":{}}").arguments();
-    for (String wanted :
+    for (String expected :
         List.of(
             "-Xms" + heap + "m", "-Xmx" + heap + "m", "-XX:MaxDirectMemorySize=" + buffers + "m")) {
-      assertTrue(arguments.contains(wanted), () -> wanted + " for " + limits + " in " + arguments);
+      assertTrue(
+          arguments.contains(expected), () -> expected + " for " + limits + " in " + arguments);
     }
   }
 
@@ -73,9 +74,10 @@
   @Test
   void execsIntoTheVirtualMachineWithoutAnotherProcess() throws IOException, InterruptedException {
     Start start = run(Files.readString(Path.of("deploy/example.json")));
-    assertEquals(start.shell(), Long.parseLong(start.stat().split(" ", 0)[0]), "the same process");
-    String[] figures = start.stat().substring(start.stat().lastIndexOf(')') + 2).split(" ", 0);
-    assertEquals("0", figures[CHILDREN_FAULTS], "a forked child has run: " + start.stat());
+    assertEquals(
+        start.shellPid(), Long.parseLong(start.stat().split(" ", 0)[0]), "the same process");
+    String[] statFields = start.stat().substring(start.stat().lastIndexOf(')') + 2).split(" ", 0);
+    assertEquals("0", statFields[CHILD_FAULTS_INDEX], "a forked child has run: " + start.stat());
     assertEquals("serve", start.arguments().get(start.arguments().size() - 1));
   }
 
--- a/src/test/java/loadbalancer/PackagedJarIT.java
+++ b/src/test/java/loadbalancer/PackagedJarIT.java
@@ -133,10 +133,10 @@
       awaitLine(process, "listening address=");
       Files.writeString(
           folder.resolve("config"), config.replace("127.0.0.1:8500", "127.0.0.1:8501"));
-      hangUp(process);
+      sendSighup(process);
       awaitLine(process, "configuration_reloaded discovery=/127.0.0.1:8501");
       Files.writeString(folder.resolve("config"), "{");
-      hangUp(process);
+      sendSighup(process);
       awaitLine(process, "configuration_rejected reason=");
       process.destroy();
       assertTrue(process.waitFor(1, TimeUnit.MINUTES), "still listens to SIGTERM");
@@ -158,7 +158,7 @@
       awaitLine(process, "listening address=");
       Files.writeString(
           folder.resolve("config"), config.replace("127.0.0.1:8500", "127.0.0.1:8501"));
-      hangUp(process);
+      sendSighup(process);
       awaitLine(process, "configuration_reloaded discovery=/127.0.0.1:8501");
     } finally {
       process.destroyForcibly();
@@ -194,7 +194,7 @@
       process.destroy();
       awaitLine(process, "shutdown_started");
       process.destroy();
-      hangUp(process);
+      sendSighup(process);
       assertTrue(process.waitFor(1, TimeUnit.MINUTES), "ends");
       assertEquals(0, process.exitValue(), text("err"));
       assertEquals(
@@ -207,16 +207,17 @@
     }
   }
 
-  private static void hangUp(Process process) throws IOException, InterruptedException {
+  private static void sendSighup(Process process) throws IOException, InterruptedException {
     assertEquals(
         0, new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor());
   }
 
-  private void awaitLine(Process process, String what) throws IOException, InterruptedException {
+  private void awaitLine(Process process, String expected)
+      throws IOException, InterruptedException {
     long deadlineNanos = System.nanoTime() + TimeUnit.MINUTES.toNanos(1);
-    while (!text("err").contains(what)) {
+    while (!text("err").contains(expected)) {
       assertTrue(process.isAlive(), text("err"));
-      assertTrue(System.nanoTime() < deadlineNanos, () -> "no line with " + what);
+      assertTrue(System.nanoTime() < deadlineNanos, () -> "no line with " + expected);
       Thread.sleep(10);
     }
   }
--- a/src/test/java/loadbalancer/downstream/ClientDisconnectTest.java
+++ b/src/test/java/loadbalancer/downstream/ClientDisconnectTest.java
@@ -11,7 +11,7 @@
 import loadbalancer.decision.api.Event.AttemptEnded;
 import loadbalancer.decision.api.Event.ClientDisconnected;
 import loadbalancer.decision.api.Event.RequestArrived;
-import loadbalancer.downstream.DownstreamFixture.Departure;
+import loadbalancer.downstream.DownstreamFixture.DisconnectKind;
 import loadbalancer.testing.DiscoveryMessages;
 import loadbalancer.testing.FakeServer;
 import loadbalancer.testing.ProxyFixture;
@@ -59,15 +59,15 @@
 
   /** The engine decides while the disconnect is in the kernel and not read yet. */
   @ParameterizedTest
-  @EnumSource(Departure.class)
-  void doesNotSendAnAttemptDecidedWhileItsClientDisconnects(Departure departure) throws Exception {
-    AtomicReference<Client> departing = new AtomicReference<>();
+  @EnumSource(DisconnectKind.class)
+  void doesNotSendAnAttemptDecidedWhileItsClientDisconnects(DisconnectKind kind) throws Exception {
+    AtomicReference<Client> disconnecting = new AtomicReference<>();
     ScriptedEngine engine =
         new ScriptedEngine(
             (event, actions) -> {
               if (event instanceof RequestArrived request) {
-                if (departing.get() != null) {
-                  departure.apply(departing.getAndSet(null));
+                if (disconnecting.get() != null) {
+                  kind.apply(disconnecting.getAndSet(null));
                 }
                 actions.accept(startAttempt(request.requestId(), "s-1"));
               }
@@ -76,10 +76,10 @@
         ProxyFixture proxy = new ProxyFixture(DownstreamFixture.config(upstream), engine);
         Client client = proxy.client();
         Client other = proxy.client()) {
-      departing.set(client);
+      disconnecting.set(client);
       client.write(ProxyFixture.get("leaves", ""));
       assertEquals(AttemptStatus.NOT_SENT, engine.awaitEvent(AttemptEnded.class).status());
-      if (departure == Departure.HALF_CLOSE) {
+      if (kind == DisconnectKind.HALF_CLOSE) {
         assertTrue(
             client.readResponse().startsWith("HTTP/1.1 503 "), "a final response: it has not run");
         assertNull(client.readResponse());
@@ -92,16 +92,16 @@
 
   /** The same for a retry, decided in the turn of the event loop in which the client leaves. */
   @ParameterizedTest
-  @EnumSource(Departure.class)
-  void doesNotSendARetryOnceItsClientHasDisconnected(Departure departure) throws Exception {
-    AtomicReference<Client> departing = new AtomicReference<>();
+  @EnumSource(DisconnectKind.class)
+  void doesNotSendARetryOnceItsClientHasDisconnected(DisconnectKind kind) throws Exception {
+    AtomicReference<Client> disconnecting = new AtomicReference<>();
     ScriptedEngine engine =
         new ScriptedEngine(
             (event, actions) -> {
               if (event instanceof RequestArrived request) {
                 actions.accept(startAttempt(request.requestId(), "s-1"));
               } else if (event instanceof AttemptEnded ended && ended.attempt() == 0) {
-                departure.apply(departing.get());
+                kind.apply(disconnecting.get());
                 actions.accept(startAttempt(ended.requestId(), "s-2"));
               }
             });
@@ -110,13 +110,13 @@
         FakeServer second = FakeServer.respondingWith(FakeServer.ok("x"));
         ProxyFixture proxy = new ProxyFixture(DownstreamFixture.config(rejecting, second), engine);
         Client client = proxy.client()) {
-      departing.set(client);
+      disconnecting.set(client);
       client.write(ProxyFixture.get("t", ""));
       assertEquals(AttemptStatus.REJECTED, engine.awaitEvent(AttemptEnded.class).status());
       AttemptEnded retry = engine.awaitEvent(AttemptEnded.class);
       assertEquals(AttemptStatus.NOT_SENT, retry.status());
       assertTrue(retry.isRequestAnswered(), "no further action of the engine is expected");
-      if (departure == Departure.HALF_CLOSE) {
+      if (kind == DisconnectKind.HALF_CLOSE) {
         assertTrue(client.readResponse().startsWith("HTTP/1.1 503 "), "it has not run");
       }
       assertTrue(second.connections.isEmpty(), "not sent");
--- a/src/test/java/loadbalancer/downstream/ClientHalfCloseTest.java
+++ b/src/test/java/loadbalancer/downstream/ClientHalfCloseTest.java
@@ -17,7 +17,7 @@
 import loadbalancer.decision.api.Event.AttemptEnded;
 import loadbalancer.decision.api.Event.ClientDisconnected;
 import loadbalancer.decision.api.Event.RequestArrived;
-import loadbalancer.downstream.DownstreamFixture.Departure;
+import loadbalancer.downstream.DownstreamFixture.DisconnectKind;
 import loadbalancer.testing.DiscoveryMessages;
 import loadbalancer.testing.FakeServer;
 import loadbalancer.testing.ProxyFixture;
@@ -105,7 +105,7 @@
               if (event instanceof RequestArrived request && request.workHintNanos() == 0) {
                 actions.accept(startAttempt(request.requestId(), "s-1"));
               } else if (event instanceof RequestArrived request) {
-                Departure.HALF_CLOSE.apply(halfClosing.get());
+                DisconnectKind.HALF_CLOSE.apply(halfClosing.get());
                 actions.accept(startAttempt("r0", "s-2"));
                 actions.accept(new RejectRequest(request.requestId(), 0));
               }
@@ -135,7 +135,8 @@
   void rejectsAConnectingRequestAtOnceWhenItsClientHalfCloses() throws Exception {
     ScriptedEngine engine = new ScriptedEngine(0);
     try (UnresponsiveUpstream upstream = new UnresponsiveUpstream();
-        ProxyFixture proxy = new ProxyFixture(unconnectable(upstream.address()), engine);
+        ProxyFixture proxy =
+            new ProxyFixture(configWithLongConnectTimeout(upstream.address()), engine);
         Client client = proxy.client()) {
       client.write(ProxyFixture.get("t", ""));
       engine.awaitEvent(RequestArrived.class);
@@ -148,7 +149,7 @@
   }
 
   /** Connecting to its one upstream takes longer than any test. */
-  private static BalancerConfig unconnectable(String address) throws IOException {
+  private static BalancerConfig configWithLongConnectTimeout(String address) throws IOException {
     String endpoints = ProxyFixture.list(1, true, ProxyFixture.member("s-1", address, "ready"));
     int connectTimeoutMillis = 1000 * ProxyFixture.TIMEOUT_SECONDS;
     return ProxyFixture.config(
--- a/src/test/java/loadbalancer/downstream/ClientInputTest.java
+++ b/src/test/java/loadbalancer/downstream/ClientInputTest.java
@@ -37,7 +37,7 @@
   }
 
   @Test
-  void readsAWholeRequestButNoEndlessFlood() throws Exception {
+  void readsAWholeRequestButNotAnEndlessStream() throws Exception {
     EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     EndlessChannel channel = new EndlessChannel();
     try {
--- a/src/test/java/loadbalancer/downstream/DownstreamFixture.java
+++ b/src/test/java/loadbalancer/downstream/DownstreamFixture.java
@@ -17,7 +17,7 @@
   private DownstreamFixture() {}
 
   /** How a client disconnects. */
-  enum Departure {
+  enum DisconnectKind {
     HALF_CLOSE,
     RESET;
 
--- a/src/test/java/loadbalancer/downstream/MisbehavingClientTest.java
+++ b/src/test/java/loadbalancer/downstream/MisbehavingClientTest.java
@@ -140,14 +140,15 @@
     try (FakeServer upstream = DownstreamFixture.respondingAfter(signal);
         ProxyFixture proxy = new ProxyFixture(DownstreamFixture.config(upstream));
         Client client = proxy.client();
-        Client imitator = proxy.client()) {
+        Client otherClient = proxy.client()) {
       client.write(ProxyFixture.get("t", ""));
       assertNotNull(upstream.requests.poll(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS));
-      assertTrue(imitator.exchange(ProxyFixture.get("t", "")).startsWith("HTTP/1.1 409 "));
+      assertTrue(otherClient.exchange(ProxyFixture.get("t", "")).startsWith("HTTP/1.1 409 "));
       signal.countDown();
       assertTrue(client.readResponse().startsWith("HTTP/1.1 200 "));
       assertTrue(
-          imitator.exchange(ProxyFixture.get("t", "")).startsWith("HTTP/1.1 200 "), "free again");
+          otherClient.exchange(ProxyFixture.get("t", "")).startsWith("HTTP/1.1 200 "),
+          "free again");
       assertEquals(2, upstream.requests.size() + 1);
     }
   }
@@ -225,16 +226,16 @@
     String smallBudget = text.replace("\"memory_mb\":192", "\"memory_mb\":1");
     try (ProxyFixture proxy = new ProxyFixture(BalancerConfig.parse(smallBudget, Map.of()));
         Client first = proxy.client();
-        Client late = proxy.client()) {
+        Client second = proxy.client()) {
       String request = ProxyFixture.post("t", "Idempotency-Key: k\r\n", "x".repeat(60_000));
       String part = request.substring(0, 40_000);
       first.write(part);
       try (Client other = proxy.client()) {
         other.exchange(DownstreamFixture.HEALTH_CHECK);
       }
-      late.write(part);
-      assertTrue(late.readResponse().startsWith("HTTP/1.1 413 "));
-      assertNull(late.readResponse());
+      second.write(part);
+      assertTrue(second.readResponse().startsWith("HTTP/1.1 413 "));
+      assertNull(second.readResponse());
     }
   }
 
--- a/src/test/java/loadbalancer/downstream/RequestParserTest.java
+++ b/src/test/java/loadbalancer/downstream/RequestParserTest.java
@@ -44,7 +44,7 @@
     request.headers().set(HttpProtocol.TRACE_ID_HEADER, "t");
     request.headers().set(HttpProtocol.CLASS_HEADER, "safe");
     request.headers().set(header, value);
-    return parser.parse(request, parser.arrivalNanos(), null);
+    return parser.parse(request, parser.earliestArrivalNanos(), null);
   }
 
   private DownstreamRequest parseAccepted(String header, String value) {
--- a/src/test/java/loadbalancer/known/KnownFailures.java
+++ b/src/test/java/loadbalancer/known/KnownFailures.java
@@ -20,7 +20,7 @@
 
   private static final String FILE = "KNOWN-RED.txt";
 
-  private final List<String> listed = readList();
+  private final List<String> listedTests = readList();
 
   @Override
   public void handleTestExecutionException(ExtensionContext context, Throwable failure)
@@ -40,7 +40,7 @@
   }
 
   private boolean isListed(ExtensionContext context) {
-    return listed.contains(nameOf(context));
+    return listedTests.contains(nameOf(context));
   }
 
   private static String nameOf(ExtensionContext context) {
--- a/src/test/java/loadbalancer/testing/FakeServer.java
+++ b/src/test/java/loadbalancer/testing/FakeServer.java
@@ -37,7 +37,7 @@
   /** All connections that were accepted, in order. */
   public final BlockingQueue<Connection> connections = new LinkedBlockingQueue<>();
 
-  private final List<Socket> open = new CopyOnWriteArrayList<>();
+  private final List<Socket> openSockets = new CopyOnWriteArrayList<>();
   private final ServerSocket listener;
 
   /** Starts a server on a port that the system chooses. */
@@ -49,7 +49,7 @@
   private void acceptAll(Script script) throws IOException {
     while (true) {
       Socket socket = listener.accept();
-      open.add(socket);
+      openSockets.add(socket);
       Connection connection = new Connection(socket);
       connections.add(connection);
       start(() -> serve(script, connection, socket));
@@ -61,7 +61,7 @@
     try (socket) {
       script.run(connection);
     } finally {
-      connection.over.countDown();
+      connection.scriptEnded.countDown();
     }
   }
 
@@ -106,7 +106,7 @@
   @Override
   public void close() throws IOException {
     listener.close();
-    for (Socket socket : open) {
+    for (Socket socket : openSockets) {
       socket.close();
     }
   }
@@ -143,7 +143,7 @@
 
     private final Socket socket;
     private final InputStream in;
-    private final CountDownLatch over = new CountDownLatch(1);
+    private final CountDownLatch scriptEnded = new CountDownLatch(1);
 
     /** Takes over a socket. */
     public Connection(Socket socket) throws IOException {
@@ -186,7 +186,7 @@
 
     /** Waits until the script is through: its last read found the end, or it closed. */
     public boolean awaitScriptEnd() throws InterruptedException {
-      return over.await(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS);
+      return scriptEnded.await(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
     /**
--- a/src/test/java/loadbalancer/testing/ProxyFixture.java
+++ b/src/test/java/loadbalancer/testing/ProxyFixture.java
@@ -38,7 +38,7 @@
   /** A generous limit for what has to happen: no test passes by its running out. */
   public static final int TIMEOUT_SECONDS = 60;
 
-  private static final String CLASS =
+  private static final String CLASS_FORMAT =
       """
       {"name":"%s","effect":"%s","dedup-scope":"cell",\
       "window-ns":2000000000,"aim-ns":20000000000,"deadline-ns":40000000000}\
@@ -48,21 +48,21 @@
   public static final class ScriptedEngine implements DecisionEngine {
 
     /** What the engine does at an event, on the event loop. */
-    public interface Step {
-      void on(Event event, Consumer<Action> actions);
+    public interface Script {
+      void handle(Event event, Consumer<Action> actions);
     }
 
     /** The events that {@link #awaitEvent} has not returned or skipped yet. */
     public final BlockingQueue<Event> events = new LinkedBlockingQueue<>();
 
     /** The ids of all endpoints that it was notified of, each once and in that order. */
-    public final List<Long> upstreams = new ArrayList<>();
+    public final List<Long> endpointIds = new ArrayList<>();
 
-    private final Step step;
+    private final Script script;
 
     /** Makes an engine that does the same step at every event. */
-    public ScriptedEngine(Step step) {
-      this.step = step;
+    public ScriptedEngine(Script script) {
+      this.script = script;
     }
 
     /**
@@ -70,10 +70,11 @@
      * the request if that does not serve it.
      */
     public ScriptedEngine(long timeoutNanos) {
-      this.step =
+      this.script =
           (event, actions) -> {
             if (event instanceof RequestArrived request) {
-              actions.accept(new StartAttempt(request.requestId(), upstreams.get(0), timeoutNanos));
+              actions.accept(
+                  new StartAttempt(request.requestId(), endpointIds.get(0), timeoutNanos));
             } else if (event instanceof AttemptEnded attempt && !attempt.isRequestAnswered()) {
               actions.accept(new FailRequest(attempt.requestId()));
             }
@@ -85,11 +86,11 @@
       if (event instanceof EndpointListUpdate update) {
         update.endpoints().stream()
             .map(Endpoint::id)
-            .filter(id -> !upstreams.contains(id))
-            .forEach(upstreams::add);
+            .filter(id -> !endpointIds.contains(id))
+            .forEach(endpointIds::add);
       }
       events.add(event);
-      step.on(event, actions);
+      script.handle(event, actions);
     }
 
     /** Waits for the next event of a kind, and skips all others before it. */
@@ -258,8 +259,8 @@
             more,
             known,
             mode,
-            CLASS.formatted("safe", "idempotent"),
-            CLASS.formatted("keyed", "deduplicated"),
+            CLASS_FORMAT.formatted("safe", "idempotent"),
+            CLASS_FORMAT.formatted("keyed", "deduplicated"),
             connectTimeoutMillis * 1_000_000L);
   }
 }
