--- a/src/main/java/loadbalancer/Main.java
+++ b/src/main/java/loadbalancer/Main.java
@@ -7,14 +7,14 @@
 import loadbalancer.proxy.ServeCommand;
 import loadbalancer.simulator.SimulateCommand;
 
-/** Entry point: runs the subcommand that the command line names. */
+/** Entry point, which runs the subcommand given on the command line. */
 public final class Main {
 
   private static final int USAGE_ERROR_STATUS = 2;
 
   private Main() {}
 
-  /** Runs the subcommand named by the only argument, and ends the process with its exit status. */
+  /** Runs the subcommand given by the only argument, and exits with its status. */
   public static void main(String[] args) throws IOException {
     System.exit(run(args, System.getenv(), System.in, System.out, System.err));
   }
@@ -22,8 +22,8 @@
   /**
    * Runs a subcommand.
    *
-   * @return the exit status: 0 at a proper end, 1 for malformed input or configuration, 2 for a
-   *     wrong command line
+   * @return the exit status: 0 on success, 1 for malformed input or an invalid configuration, 2 for
+   *     an invalid command line
    */
   static int run(
       String[] args,
--- a/src/main/java/loadbalancer/downstream/AcceptRetryHandler.java
+++ b/src/main/java/loadbalancer/downstream/AcceptRetryHandler.java
@@ -8,23 +8,26 @@
 import loadbalancer.telemetry.LogValues;
 
 /**
- * Accepts again soon after the system could not accept a connection, for want of descriptors or
- * memory say. It stands before Netty's own handler, which would wait for a second. Confined to the
- * event loop.
+ * Resumes accepting shortly after the system failed to accept a connection, for example for lack of
+ * descriptors or memory. The handler takes the place of Netty's own error handling, which would
+ * pause for a second. Confined to the event loop.
  */
 final class AcceptRetryHandler extends ChannelInboundHandlerAdapter {
 
-  /** Short against every deadline, and long enough not to spin while the failure lasts. */
+  /**
+   * Delay before accepting resumes: short compared with every deadline, and long enough to avoid a
+   * busy loop while the failure lasts.
+   */
   static final long RETRY_DELAY_MILLIS = 10;
 
   private static final Logger LOG = Logger.getLogger(AcceptRetryHandler.class.getName());
 
-  /** Failures since a connection was accepted. */
+  /** Number of failures since a connection was last accepted. */
   private int consecutiveFailures;
 
   private long failures;
 
-  /** The number of calls that have failed. */
+  /** Returns the number of accept calls that have failed. */
   long failures() {
     return failures;
   }
--- a/src/main/java/loadbalancer/downstream/BodyBudget.java
+++ b/src/main/java/loadbalancer/downstream/BodyBudget.java
@@ -3,8 +3,8 @@
 import io.netty.handler.codec.http.TooLongHttpContentException;
 
 /**
- * Bounds the memory that the request bodies of all client connections, and the heads of requests
- * that wait for their turn, take together, in bytes.
+ * A limit in bytes on the memory that the request bodies of all client connections and the heads of
+ * queued requests take together.
  */
 final class BodyBudget {
 
@@ -16,7 +16,7 @@
   }
 
   /**
-   * Counts received bytes, which have to be released in either outcome.
+   * Counts received bytes, which the caller has to release even if this method throws.
    *
    * @throws TooLongHttpContentException if the budget is exceeded
    */
@@ -27,7 +27,10 @@
     }
   }
 
-  /** Counts bytes if there is room for them; only then are they to be released. */
+  /**
+   * Counts bytes, which the caller has to release, and returns true if there is room for them.
+   * Otherwise counts nothing and returns false.
+   */
   boolean tryReserve(long bytes) {
     if (usedBytes + bytes > maxBytes) {
       return false;
--- a/src/main/java/loadbalancer/downstream/ClientChannel.java
+++ b/src/main/java/loadbalancer/downstream/ClientChannel.java
@@ -4,22 +4,26 @@
 import java.nio.channels.SocketChannel;
 import loadbalancer.net.InterruptTolerantChannel;
 
-/** A connection that a client has made. */
+/** A client connection that a {@link ListenerChannel} has accepted. */
 final class ClientChannel extends InterruptTolerantChannel {
 
   private final long acceptDelayNanos;
 
   /**
-   * Takes over a connection that a listener has accepted.
+   * Wraps the socket of a connection that a listener has accepted.
    *
-   * @param acceptDelayNanos how long it may have waited for that because accepting failed
+   * @param acceptDelayNanos the longest time that the connection may have waited to be accepted
+   *     because accepting failed
    */
   ClientChannel(Channel listener, SocketChannel socket, long acceptDelayNanos) {
     super(listener, socket);
     this.acceptDelayNanos = acceptDelayNanos;
   }
 
-  /** How long a client's connection may have waited because accepting failed; 0 for others. */
+  /**
+   * Returns how long a client connection may have waited because accepting failed, or 0 for any
+   * other channel.
+   */
   static long acceptDelayNanos(Channel channel) {
     return channel instanceof ClientChannel client ? client.acceptDelayNanos : 0;
   }
--- a/src/main/java/loadbalancer/downstream/ClientConnection.java
+++ b/src/main/java/loadbalancer/downstream/ClientConnection.java
@@ -21,9 +21,10 @@
 import loadbalancer.downstream.ClientConnections.State;
 
 /**
- * One client connection. It serves one request at a time; pipelined ones wait their turn.
+ * A client connection. It serves one request at a time and queues pipelined requests.
  *
- * <p>It owns the connection's channel and its entry in {@link ClientConnections}, and closes both.
+ * <p>It owns the connection's channel and its entry in {@link ClientConnections}; it closes the
+ * channel and removes the entry.
  */
 final class ClientConnection extends SimpleChannelInboundHandler<FullHttpRequest>
     implements ResponseSink {
@@ -31,8 +32,8 @@
   private static final Logger LOG = Logger.getLogger(ClientConnection.class.getName());
 
   /**
-   * A request that waits for its turn longer than this beyond its deadline gets its response at the
-   * expense of the one before it. Within half a second it only earns nothing.
+   * Time after the deadline of a queued request at which the request ahead of it is aborted. A
+   * response that is less than half a second late is merely worthless; a later one counts as lost.
    */
   private static final long OVERDUE_GRACE_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
 
@@ -45,19 +46,21 @@
   private final RequestAggregator aggregator;
   private final PipelinedRequests pipelined;
 
-  /** A request, or an error, on this connection still has no response written. */
+  /**
+   * True while the response to a request, or an error response, has not been written completely.
+   */
   private boolean responsePending;
 
-  /** The request that the handler has accepted and not responded to; null for none. */
+  /** The request that the handler has accepted and not yet responded to; null for none. */
   private DownstreamRequest currentRequest;
 
-  /** Bytes of the body of the request being served. */
+  /** Size of the body of the request being served, in bytes. */
   private int currentBodyBytes;
 
-  /** Whether the client of the request being served wants the connection kept alive. */
+  /** True if the connection may be kept alive after the request being served. */
   private boolean keepAlive;
 
-  /** The client has ended its sending. */
+  /** True once the client has half-closed the connection. */
   private boolean halfClosed;
 
   ClientConnection(
@@ -77,7 +80,7 @@
     aggregator = new RequestAggregator(bodyBudget, () -> responsePending);
   }
 
-  /** Fills the pipeline of the connection's channel. */
+  /** Adds the connection's handlers to the pipeline of its channel. */
   void addHandlers() {
     channel
         .pipeline()
@@ -97,7 +100,7 @@
     input.readBacklog();
   }
 
-  /** Bytes have been decoded: from the start of a request on its time limit runs. */
+  /** Starts the time limit of a request once its first bytes have been decoded. */
   void bytesDecoded() {
     if (input.hasPartialRequest() && connections.isIn(State.IDLE, this)) {
       connections.setState(this, State.READING);
@@ -134,7 +137,10 @@
             TimeUnit.NANOSECONDS);
   }
 
-  /** Responses keep their order: one that waits for its turn must not come too late for that. */
+  /**
+   * Aborts the current request if a request queued behind it is overdue, as responses are sent in
+   * the order of the requests.
+   */
   private void abortRequestBlockingOverdue() {
     if (currentRequest != null && pipelined.hasOverdue(router.nowNanos() - OVERDUE_GRACE_NANOS)) {
       handler.abort(currentRequest.traceId());
@@ -149,7 +155,10 @@
     context.fireUserEventTriggered(event);
   }
 
-  /** The client has disconnected or reads on; only writing a response would show which. */
+  /**
+   * Handles the end of the input: the client has either disconnected or half-closed the connection,
+   * and only writing a response would show which.
+   */
   private void inputShutDown() {
     if (!responsePending || connections.isIn(State.LINGERING, this)) {
       close();
@@ -187,18 +196,21 @@
     if (cause instanceof IOException) {
       context.close();
     } else if (!input.isDiscarded()) {
-      // For example a body over the budget, or no memory to read into. Requests before it still get
-      // their responses.
+      // For example, the body budget is exceeded, or no memory is left for the read buffer. Earlier
+      // requests still get their responses.
       input.discard();
       if (!responsePending) {
         responsePending = true;
         reply(LocalReply.forFailure(cause));
       }
     }
-    // Any other failure concerns discarded input; requests before it still get their responses.
+    // Any other failure concerns discarded input, and earlier requests still get their responses.
   }
 
-  /** The time for a complete request is over. */
+  /**
+   * Responds with an error if only a part of a request has arrived within its time limit, and
+   * closes the connection if nothing has.
+   */
   void requestTimedOut() {
     if (input.hasPartialRequest()) {
       input.discard();
@@ -211,17 +223,17 @@
     }
   }
 
-  /** Reads all that has arrived, which may have this connection serve a request. */
+  /** Reads all pending input, which may start the serving of a request. */
   void readPending() {
     input.readPending();
   }
 
-  /** Whether a close would cut off a request that is arriving, or an error being sent. */
+  /** Returns whether closing now would cut off a request that is arriving or the last response. */
   boolean isReceivingOrLingering() {
     return input.hasPartialRequest() || connections.isIn(State.LINGERING, this);
   }
 
-  /** Closes the channel; the connection no longer counts from here on. */
+  /** Closes the channel and stops counting the connection as open. */
   void close() {
     connections.remove(this);
     channel.close();
@@ -234,7 +246,8 @@
     input.requestCompleted();
     currentBodyBytes = request.content().readableBytes();
     connections.setState(this, State.SERVING);
-    // A response to HEAD has no body, and the error that HEAD gets has one: nothing may follow it.
+    // The error response to HEAD has a body, which the client does not expect, so that no response
+    // may follow it.
     keepAlive = HttpUtil.isKeepAlive(request) && !request.method().equals(HttpMethod.HEAD);
     RoutingResult result = router.route(request, arrivedAtNanos, this, halfClosed);
     if (result instanceof DownstreamRequest accepted) {
@@ -253,7 +266,7 @@
   public boolean isResponseAwaited() {
     readPending();
     if (!channel.isActive()) {
-      // After a reset, channelInactive follows only once the event in progress has been handled.
+      // After a reset, Netty calls channelInactive only once the current event has been handled.
       notifyDisconnected();
     }
     return currentRequest != null && !halfClosed;
@@ -270,10 +283,10 @@
       HttpResponseStatus status, long retryAfterNanos, CharSequence contentType, ByteBuf content) {
     currentRequest = null;
     if (listenerState.isClosing() && !input.isDecoding()) {
-      // What has arrived would be lost by a close that the client has not asked for.
+      // Requests that have arrived would be lost if the proxy closed the connection now.
       readPending();
     }
-    // Pipelined requests were received, so they get their responses before the connection ends.
+    // Pipelined requests have been received, so they get responses before the connection is closed.
     boolean keepOpen =
         keepAlive && (!pipelined.isEmpty() || (!input.isDiscarded() && !listenerState.isClosing()));
     channel
@@ -293,9 +306,9 @@
   }
 
   /**
-   * Ends the connection after its last response. A close over unread input would reset it, and the
-   * client would lose what has not reached it of the response. Input is read until the client
-   * closes, and discarded: no response to it could be sent any more.
+   * Ends the connection after its last response. Closing it with unread input would reset it, and
+   * the client would lose the part of the response that has not reached it. Input is therefore read
+   * until the client closes, and discarded, as no response to it can be sent any more.
    */
   private void closeOutputAndLinger() {
     input.discard();
@@ -313,10 +326,10 @@
       serve(next.request(), next.arrivedAtNanos());
       next.request().release();
     } else if (halfClosed) {
-      // It ended its sending while this response was being written: nothing can follow.
+      // The client half-closed while this response was being written; no request can follow.
       close();
     } else if (listenerState.isClosing() && !input.hasPartialRequest()) {
-      // The response was still being written when idle connections were closed.
+      // This response was still being written when idle connections were closed.
       closeOutputAndLinger();
     } else if (channel.isActive()) {
       connections.setState(this, input.hasPartialRequest() ? State.READING : State.IDLE);
--- a/src/main/java/loadbalancer/downstream/ClientConnections.java
+++ b/src/main/java/loadbalancer/downstream/ClientConnections.java
@@ -8,33 +8,47 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The open client connections by state and age: closes those that exceed a time limit, and picks
- * the ones to shed when descriptors run out.
+ * The open client connections by state and age. It closes those that exceed a time limit, and
+ * selects those to shed when descriptors run out.
  */
 final class ClientConnections {
 
-  /** In the order in which connections are shed; a serving one never is. */
+  /**
+   * The states of a connection, in the order in which connections are shed; a serving one is never
+   * shed.
+   */
   enum State {
-    /** Its last response is sent and its output closed; the client may still have to read it. */
+    /**
+     * The last response has been sent and the output closed; the client may not have read it yet.
+     */
     LINGERING,
-    /** A request is expected or has arrived in part. */
+    /** A request is expected or has partly arrived. */
     READING,
-    /** Kept alive between requests. */
+    /** The connection is kept alive between requests. */
     IDLE,
     /** A request awaits its response. */
     SERVING
   }
 
-  /** A client is owed an error or a close 3 s after it connects without a complete request. */
+  /**
+   * Time limit for a request to arrive completely. A client that sends no complete request must get
+   * an error or a close within 3 s of connecting.
+   */
   private static final long READING_LIMIT_NANOS = TimeUnit.MILLISECONDS.toNanos(2000);
 
-  /** For the client to read an error: closing at once, over unread input, would destroy it. */
+  /**
+   * Time for the client to read an error. Closing at once with unread input would reset the
+   * connection, and the error would be lost.
+   */
   private static final long LINGERING_LIMIT_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
-  /** A client without a request for this long does not miss its connection. */
+  /** Idle time after which a client is not expected to use its connection again. */
   private static final long IDLE_LIMIT_NANOS = TimeUnit.SECONDS.toNanos(60);
 
-  /** System.nanoTime at entry to the state; each inner map is ordered by it, oldest first. */
+  /**
+   * {@code System.nanoTime} at which a connection entered its state, by state; each inner map is
+   * ordered by it, oldest first.
+   */
   private final Map<State, Map<ClientConnection, Long>> enteredAtNanos = new EnumMap<>(State.class);
 
   ClientConnections() {
@@ -51,7 +65,10 @@
     return count;
   }
 
-  /** Moves a connection to a state, or adds it; its time there starts anew in any case. */
+  /**
+   * Moves a connection to a state, or adds it. Its time in the state restarts even if the state
+   * stays the same.
+   */
   void setState(ClientConnection connection, State state) {
     remove(connection);
     enteredAtNanos.get(state).put(connection, System.nanoTime());
@@ -69,7 +86,9 @@
     }
   }
 
-  /** Closes the first connection in shedding order; false if all are serving. */
+  /**
+   * Closes the first connection in shedding order. Returns false if all connections are serving.
+   */
   boolean shedOne() {
     for (ClientConnection connection : notServing()) {
       if (closeUnlessServing(connection)) {
@@ -79,7 +98,10 @@
     return false;
   }
 
-  /** Closes the connections that exceed the time limit of their state. */
+  /**
+   * Closes the connections that exceed the time limit of their state, those with a partial request
+   * after an error response.
+   */
   void closeExpired() {
     for (ClientConnection connection : expired(State.LINGERING, LINGERING_LIMIT_NANOS)) {
       connection.close();
@@ -92,7 +114,9 @@
     }
   }
 
-  /** Closes the connections that neither serve nor receive a request nor linger. */
+  /**
+   * Closes the connections that are neither serving nor receiving a request, and are not lingering.
+   */
   void closeIdle() {
     for (ClientConnection connection : notServing()) {
       connection.readPending();
@@ -102,14 +126,17 @@
     }
   }
 
-  /** Ends the wait for the rest of every request that has not arrived completely. */
+  /** Times out every request that has not arrived completely. */
   void expireIncompleteRequests() {
     for (ClientConnection connection : List.copyOf(enteredAtNanos.get(State.READING).keySet())) {
       expireIncompleteRequest(connection);
     }
   }
 
-  /** Reads first: the request may be complete, and unread only because the event loop lagged. */
+  /**
+   * Times out a request that has not arrived completely. Pending input is read first, as the rest
+   * of the request may be unread only because the event loop lagged.
+   */
   private void expireIncompleteRequest(ClientConnection connection) {
     connection.readPending();
     if (isIn(State.READING, connection)) {
@@ -118,8 +145,9 @@
   }
 
   /**
-   * Reads first: a request that the kernel has received counts as received, and closing over it
-   * would reset the connection.
+   * Closes a connection unless it is serving, and returns whether it did. Pending input is read
+   * first, as a request that the kernel has received counts as received, and closing with unread
+   * input would reset the connection.
    */
   private boolean closeUnlessServing(ClientConnection connection) {
     connection.readPending();
--- a/src/main/java/loadbalancer/downstream/ClientInput.java
+++ b/src/main/java/loadbalancer/downstream/ClientInput.java
@@ -4,14 +4,14 @@
 import loadbalancer.net.PendingReads;
 
 /**
- * How far the input of one client connection has come: read, decoded, or to be discarded. Owned by
- * its {@link ClientConnection}.
+ * The state of the input of one client connection: whether it is being decoded, contains a partial
+ * request, or is discarded. Owned by its {@link ClientConnection}.
  */
 final class ClientInput {
 
   /**
-   * The most that is read in one go beyond what the event loop reads in its turn: whole requests,
-   * and no more of a flood than that.
+   * Limit on the bytes that {@link #readPending} reads: enough for whole requests, but bounded when
+   * a client floods the connection.
    */
   private static final int MAX_PENDING_BYTES = 1 << 18;
 
@@ -19,23 +19,26 @@
   private final RequestDecoder decoder = new RequestDecoder();
   private long bytesRead;
 
-  /** Bytes are being decoded, which may have the connection respond. */
+  /** True while bytes are being decoded, which may make the connection respond. */
   private boolean decoding;
 
-  /** A request has started to arrive and is not complete. */
+  /** True if a request has started to arrive and is not complete. */
   private boolean partialRequest;
 
-  /** Further input is not decoded: it follows an error, exceeds a limit, or the client ended it. */
+  /**
+   * True if further input is not decoded, because it follows an error or exceeds a limit, or
+   * because the input has ended.
+   */
   private boolean discarded;
 
-  /** How long what is being read may have waited for the connection to be accepted. */
+  /** How long the input that is being read may have waited for the connection to be accepted. */
   private long acceptDelayNanos;
 
   ClientInput(Channel channel) {
     this.channel = channel;
   }
 
-  /** The handler that decodes the connection's requests. */
+  /** Returns the handler that decodes the connection's requests. */
   RequestDecoder decoder() {
     return decoder;
   }
@@ -56,30 +59,35 @@
     return acceptDelayNanos;
   }
 
-  /** From here on bytes are read, to notice a disconnect, and not decoded. */
+  /** Stops decoding. Bytes are still read, to notice a disconnect, and discarded. */
   void discard() {
     discarded = true;
   }
 
-  /** Bytes have been read; returns whether they are to be decoded. */
+  /** Counts bytes that have been read, and returns whether they are to be decoded. */
   boolean beginDecoding(int bytes) {
     bytesRead += bytes;
     decoding = !discarded;
     return decoding;
   }
 
-  /** The bytes have been decoded: they may have completed requests, and started another. */
+  /**
+   * Updates the state after decoding, which may have completed requests and started another one.
+   */
   void endDecoding() {
     decoding = false;
     partialRequest = decoder.hasPartialRequest();
   }
 
-  /** The request that was arriving is complete, and about to be served. */
+  /** Records that the request that was arriving is complete and about to be served. */
   void requestCompleted() {
     partialRequest = false;
   }
 
-  /** Reads all that has arrived, in many reads if need be; that may have a request served. */
+  /**
+   * Reads all pending input, in several reads if necessary, which may start the serving of a
+   * request.
+   */
   void readPending() {
     long start = bytesRead;
     long before;
@@ -90,8 +98,8 @@
   }
 
   /**
-   * Reads what has arrived while the connection waited to be accepted, if it did: that may have
-   * waited as long. What comes later has not.
+   * Reads the input that arrived while the connection waited to be accepted, if it had to wait.
+   * This input may have waited as long as the connection; later input has not.
    */
   void readBacklog() {
     acceptDelayNanos = ClientChannel.acceptDelayNanos(channel);
--- a/src/main/java/loadbalancer/downstream/DownstreamListener.java
+++ b/src/main/java/loadbalancer/downstream/DownstreamListener.java
@@ -14,17 +14,17 @@
 import loadbalancer.upstream.ConnectionPool;
 
 /**
- * The listener for clients: accepts connections within the descriptor budget, and carries out the
- * steps of a graceful shutdown on them. All of it runs on the event loop that it listens on.
+ * The listener for clients. It accepts connections within the descriptor budget, and performs the
+ * steps of a graceful shutdown on them. Confined to the event loop of its socket.
  */
 public final class DownstreamListener {
 
   private static final long EXPIRY_CHECK_PERIOD_MILLIS = 100;
 
   /**
-   * The queue of pending connections counts as empty once it was found so this many times, {@link
-   * AcceptRetryHandler#RETRY_DELAY_MILLIS} apart: a call of accept that was interrupted looks the
-   * same.
+   * Number of consecutive checks, {@link AcceptRetryHandler#RETRY_DELAY_MILLIS} apart, after which
+   * the accept queue counts as empty. A single check does not suffice, as an interrupted accept
+   * call looks like an empty queue.
    */
   private static final int EMPTY_QUEUE_CHECKS = 2;
 
@@ -42,8 +42,10 @@
   /**
    * Creates the listener of one proxy.
    *
-   * @param upstreamConnections the idle ones are closed for the descriptors of new clients
-   * @param maxBodyBytes bounds the memory of all request bodies together
+   * @param upstreamConnections pool whose idle connections are closed when new clients need their
+   *     descriptors
+   * @param maxBodyBytes limit on the memory that request bodies and the heads of queued requests
+   *     take together
    */
   public DownstreamListener(
       RequestHandler handler,
@@ -60,7 +62,7 @@
     bodyBudget = new BodyBudget(maxBodyBytes);
   }
 
-  /** Binds to an address and accepts clients from there on; may be repeated if that fails. */
+  /** Binds to an address and starts to accept clients. May be called again if binding fails. */
   public ChannelFuture listen(ServerBootstrap bootstrap, SocketAddress address) {
     acceptRetry = new AcceptRetryHandler();
     ChannelFuture bound =
@@ -92,19 +94,19 @@
     }
   }
 
-  /** From here on health checks may succeed. */
+  /** Allows health checks to succeed from now on. */
   public void markReady() {
     state.markReady();
   }
 
-  /** From here on health checks fail, so that clients go elsewhere; connections go on. */
+  /** Makes health checks fail from now on, so that clients go elsewhere. Connections stay open. */
   public void startDraining() {
     state.startDraining();
   }
 
   /**
-   * Stops listening once no connection waits in the kernel's queue, as closing the listener would
-   * reset those. That takes as long as accepting them fails.
+   * Stops listening once the kernel's accept queue is empty, as closing the listener would reset
+   * the connections in it. While accepting fails, the listener stays open.
    */
   public void stopAccepting() {
     stopAccepting(EMPTY_QUEUE_CHECKS);
@@ -124,7 +126,10 @@
             TimeUnit.MILLISECONDS);
   }
 
-  /** Accepts what waits in the kernel's queue; false if that failed, so that more may wait. */
+  /**
+   * Accepts the connections in the kernel's accept queue. Returns false if accepting failed, so
+   * that more may be queued.
+   */
   private boolean acceptPending() {
     long failuresBefore = acceptRetry.failures();
     long acceptedBefore;
@@ -135,23 +140,26 @@
     return acceptRetry.failures() == failuresBefore;
   }
 
-  /** Whether it still accepts connections. */
+  /** Returns whether the listener still accepts connections. */
   public boolean isAccepting() {
     return serverChannel.isActive();
   }
 
-  /** Closes idle connections; from here on every last response closes its connection. */
+  /** Closes idle connections. From now on every connection is closed after its last response. */
   public void closeIdleConnections() {
     state.startClosing();
     connections.closeIdle();
   }
 
-  /** Responds with an error to every request that has not arrived completely. */
+  /**
+   * Responds with an error to every request that has arrived only in part, and closes connections
+   * that have not sent any part of their first request.
+   */
   public void expireIncompleteRequests() {
     connections.expireIncompleteRequests();
   }
 
-  /** The number of open client connections. */
+  /** Returns the number of open client connections. */
   public int connectionCount() {
     return connections.count();
   }
@@ -162,8 +170,10 @@
   }
 
   /**
-   * Finds a descriptor for a new client: the kernel has accepted it, so it comes before clients
-   * without a request in flight, and before idle connections to upstreams.
+   * Admits a new client. If the descriptor budget is used up, closes a client connection without a
+   * request in flight in exchange, or else an idle connection to an upstream: the kernel has
+   * already accepted the new client. If there is neither, the new connection may use a spare
+   * descriptor, but is closed when those run low.
    */
   private void admit(Channel channel) {
     boolean admitted =
--- a/src/main/java/loadbalancer/downstream/DownstreamRequest.java
+++ b/src/main/java/loadbalancer/downstream/DownstreamRequest.java
@@ -4,18 +4,19 @@
 import loadbalancer.decision.api.RequestClass;
 
 /**
- * A client's request that was received completely and is well formed.
+ * A well-formed request that has been received completely from a client.
  *
- * @param traceId the client's id; no two requests in flight have the same
- * @param tenant null for none
- * @param affinityKey requests with equal keys share endpoints; null for none
- * @param workHintNanos the work it is expected to cost; 0 for unknown
+ * @param traceId the id that the client has given the request, unique among the requests in flight
+ * @param tenant name of the tenant; null for none
+ * @param affinityKey key by which requests share endpoints; null for none
+ * @param workHintNanos the expected cost of the request; 0 if unknown
  * @param retry whether the client says that it repeats an earlier request
- * @param deadlineNanos clock reading at which the client gives up, less the way back to it
- * @param unreadNanos how long it may have lain unread because the event loop lagged, or has waited
- *     for its turn among pipelined requests
- * @param message the request as received; whoever accepts the request releases it
- * @param response where the final response goes
+ * @param deadlineNanos clock reading at which the client stops waiting, less an allowance for the
+ *     network
+ * @param unreadNanos how long the request may have waited before it was parsed: unread because the
+ *     event loop lagged or accepting failed, or queued behind other pipelined requests
+ * @param message the request as received, which the handler that accepts it releases
+ * @param response receives the final response
  */
 public record DownstreamRequest(
     String traceId,
--- a/src/main/java/loadbalancer/downstream/InboundBytesHandler.java
+++ b/src/main/java/loadbalancer/downstream/InboundBytesHandler.java
@@ -4,7 +4,10 @@
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
 
-/** Sees a connection's bytes before and after they are decoded; drops those it no longer reads. */
+/**
+ * Notifies a connection before and after its bytes are decoded, and drops the bytes of discarded
+ * input.
+ */
 final class InboundBytesHandler extends ChannelInboundHandlerAdapter {
 
   private final ClientConnection connection;
--- a/src/main/java/loadbalancer/downstream/ListenerChannel.java
+++ b/src/main/java/loadbalancer/downstream/ListenerChannel.java
@@ -6,16 +6,21 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** The listening socket. It knows how long the connections that it accepts may have waited. */
+/** The listening socket. It tracks how long the connections that it accepts may have waited. */
 public final class ListenerChannel extends NioServerSocketChannel {
 
-  /** The queue is surely empty of what waited so long after accepting has recovered. */
+  /**
+   * Time after accepting has recovered in which all connections that waited in the queue are
+   * accepted.
+   */
   private static final long RECOVERY_NANOS = TimeUnit.SECONDS.toNanos(1);
 
-  /** When accepting failed for the first time since the queue was empty; 0 if it did not. */
+  /**
+   * {@code System.nanoTime} of the first failed accept call since the queue was empty; 0 for none.
+   */
   private long failingSinceNanos;
 
-  /** When it succeeded again; 0 if it has not yet. */
+  /** {@code System.nanoTime} of the first successful accept call after that; 0 for none yet. */
   private long recoveredAtNanos;
 
   @Override
@@ -35,7 +40,7 @@
     }
     recoveredAtNanos = recoveredAtNanos == 0 ? nowNanos : recoveredAtNanos;
     if (nowNanos - recoveredAtNanos > RECOVERY_NANOS) {
-      // The queue was never seen empty: as many waited in it as are accepted in one turn.
+      // No call found the queue empty, as it always held as many connections as one turn accepts.
       failingSinceNanos = 0;
       return 0;
     }
--- a/src/main/java/loadbalancer/downstream/ListenerState.java
+++ b/src/main/java/loadbalancer/downstream/ListenerState.java
@@ -1,6 +1,8 @@
 package loadbalancer.downstream;
 
-/** How far the listener has come from start to shutdown, as far as client connections need it. */
+/**
+ * The phase of the listener between start and shutdown, as far as it affects client connections.
+ */
 final class ListenerState {
 
   private boolean ready;
@@ -19,12 +21,12 @@
     closing = true;
   }
 
-  /** Whether health checks should send clients here. */
+  /** Returns whether the listener is ready and not draining, so that health checks may succeed. */
   boolean isServing() {
     return ready && !draining;
   }
 
-  /** Whether every response closes its connection unless further requests wait on it. */
+  /** Returns whether a connection is closed after a response unless further requests are queued. */
   boolean isClosing() {
     return closing;
   }
--- a/src/main/java/loadbalancer/downstream/LocalReply.java
+++ b/src/main/java/loadbalancer/downstream/LocalReply.java
@@ -7,10 +7,10 @@
 import io.netty.handler.codec.http.TooLongHttpLineException;
 
 /**
- * A response that the listener gives itself, without the {@link RequestHandler}: to a health check,
- * or an error that says why a request is rejected.
+ * A response that does not come from the {@link RequestHandler}: the result of a health check, or
+ * an error that states why a request is rejected.
  *
- * @param message the response's body, one line without its end
+ * @param message the body of the response, one line without a line terminator
  */
 record LocalReply(HttpResponseStatus status, String message) implements RoutingResult {
 
@@ -18,14 +18,17 @@
     return new LocalReply(HttpResponseStatus.BAD_REQUEST, message);
   }
 
-  /** The error for a request that could not be read, by its own fault or by the proxy's. */
+  /**
+   * Returns the error for a request that could not be read because it is invalid or because the
+   * proxy failed.
+   */
   static LocalReply forFailure(Throwable cause) {
     return cause instanceof CodecException
         ? forDecodingFailure(cause)
         : new LocalReply(HttpResponseStatus.INTERNAL_SERVER_ERROR, "request cannot be read");
   }
 
-  /** The error for a request whose decoding failed. */
+  /** Returns the error for a request whose decoding failed. */
   static LocalReply forDecodingFailure(Throwable cause) {
     if (cause instanceof TooLongHttpContentException) {
       return new LocalReply(
--- a/src/main/java/loadbalancer/downstream/PipelinedRequests.java
+++ b/src/main/java/loadbalancer/downstream/PipelinedRequests.java
@@ -6,22 +6,25 @@
 import java.util.ArrayDeque;
 import java.util.Map;
 
-/** The requests of one connection that wait for the response to an earlier one; it owns them. */
+/**
+ * The queued requests of one connection, which wait for the response to an earlier request. The
+ * queue holds a reference to each.
+ */
 final class PipelinedRequests {
 
-  /** Bounds the memory that waiting requests take. */
+  /** Limit on the number of queued requests, which bounds the memory they take. */
   private static final int MAX_REQUESTS = 32;
 
-  /** What a waiting request takes in memory beside the text of its head, in bytes. */
+  /** Memory that a queued request takes in addition to the text of its head, in bytes. */
   private static final long REQUEST_OVERHEAD_BYTES = 512;
 
-  /** What each of its headers takes beside its text, in bytes. */
+  /** Memory that each header takes in addition to its text, in bytes. */
   private static final long HEADER_OVERHEAD_BYTES = 96;
 
   /**
-   * A request that waits; its client's timeout runs from its arrival on.
+   * A queued request, whose timeout runs from its arrival.
    *
-   * @param deadlineNanos clock reading at which that is over
+   * @param deadlineNanos clock reading at which the timeout ends
    */
   record QueuedRequest(
       FullHttpRequest request, long arrivedAtNanos, long deadlineNanos, long headBytes) {}
@@ -29,7 +32,7 @@
   private final BodyBudget budget;
   private final ArrayDeque<QueuedRequest> queue = new ArrayDeque<>(1);
 
-  /** Makes an empty queue; the heads of its requests count against the budget. */
+  /** Creates an empty queue. The heads of queued requests count against the budget. */
   PipelinedRequests(BodyBudget budget) {
     this.budget = budget;
   }
@@ -39,9 +42,9 @@
   }
 
   /**
-   * Queues a request and retains it; false if too many wait already, or too much memory is in use.
-   * The request then counts as one whose decoding failed, and its error ends the connection in its
-   * turn.
+   * Queues a request and retains it. Returns false if too many requests are queued already or too
+   * much memory is in use: the request is then queued as one whose decoding failed, and its error
+   * response ends the connection when its turn comes.
    */
   boolean enqueue(FullHttpRequest request, long arrivedAtNanos, long deadlineNanos) {
     long headBytes = headBytes(request);
@@ -55,7 +58,7 @@
     return false;
   }
 
-  /** About what a request's head takes in memory. */
+  /** Returns approximately how much memory a request's head takes. */
   private static long headBytes(FullHttpRequest request) {
     long bytes = REQUEST_OVERHEAD_BYTES + request.uri().length();
     for (Map.Entry<String, String> header : request.headers()) {
@@ -64,7 +67,7 @@
     return bytes;
   }
 
-  /** The next request, which is the caller's to release; null for none. */
+  /** Removes the next request, which the caller has to release. Returns null if there is none. */
   QueuedRequest poll() {
     QueuedRequest next = queue.poll();
     if (next != null) {
@@ -73,7 +76,7 @@
     return next;
   }
 
-  /** Whether the time of a request that waits is over at a clock reading. */
+  /** Returns whether the deadline of a queued request has passed at a clock reading. */
   boolean hasOverdue(long nowNanos) {
     for (QueuedRequest queued : queue) {
       if (nowNanos >= queued.deadlineNanos()) {
--- a/src/main/java/loadbalancer/downstream/RequestAggregator.java
+++ b/src/main/java/loadbalancer/downstream/RequestAggregator.java
@@ -21,8 +21,9 @@
  * Aggregates the parts of a request into a complete one, and counts the bodies of its connection
  * against the {@link BodyBudget}.
  *
- * <p>It sends no response but {@code 100 Continue}: a request that is too large is passed on as one
- * whose decoding failed, so that its error keeps its place among the pipelined responses.
+ * <p>The only response it sends itself is {@code 100 Continue}. A request that is too large is
+ * passed on as one whose decoding failed, so that its error is sent in order with the other
+ * responses.
  */
 final class RequestAggregator extends HttpObjectAggregator {
 
@@ -33,8 +34,8 @@
   /**
    * Creates the aggregator of one connection.
    *
-   * @param responsePending whether an earlier request on the connection still has no response; a
-   *     {@code 100 Continue} would overtake it
+   * @param responsePending returns whether an earlier request on the connection still has no
+   *     response, which a {@code 100 Continue} would overtake
    */
   RequestAggregator(BodyBudget budget, BooleanSupplier responsePending) {
     super(HttpProtocol.MAX_BODY_BYTES);
--- a/src/main/java/loadbalancer/downstream/RequestDecoder.java
+++ b/src/main/java/loadbalancer/downstream/RequestDecoder.java
@@ -5,24 +5,24 @@
 import io.netty.handler.codec.http.HttpRequestDecoder;
 
 /**
- * Decodes requests, and tells whether one has started that has not arrived completely. It fails a
- * request with two lengths, or with a length and Transfer-Encoding.
+ * Decodes requests, and tracks whether one has arrived only in part. Decoding fails for a request
+ * with two lengths, or with both a length and Transfer-Encoding.
  */
 final class RequestDecoder extends HttpRequestDecoder {
 
-  /** The first line of a request has been decoded, and its end has not been reported. */
+  /** True if the first line of a request has been decoded and its end has not been reported. */
   private boolean requestStarted;
 
   RequestDecoder() {
     super(new HttpDecoderConfig());
   }
 
-  /** Whether a part of a request has arrived that has not been passed on whole. */
+  /** Returns whether a part of a request has arrived that has not been passed on as a whole. */
   boolean hasPartialRequest() {
     return requestStarted || actualReadableBytes() > 0;
   }
 
-  /** The request that had started has been passed on whole. */
+  /** Records that the request that had started has been passed on as a whole. */
   void requestEnded() {
     requestStarted = false;
   }
--- a/src/main/java/loadbalancer/downstream/RequestHandler.java
+++ b/src/main/java/loadbalancer/downstream/RequestHandler.java
@@ -1,31 +1,34 @@
 package loadbalancer.downstream;
 
-/** Takes over the requests that the listener has received. */
+/** The handler of the requests that the listener has received. */
 public interface RequestHandler {
 
-  /** Accepts a request; it gets exactly one final response, possibly before this returns. */
+  /**
+   * Accepts a request, which gets exactly one final response, possibly before this method returns.
+   */
   void accept(DownstreamRequest request);
 
   /**
-   * The client of a request without a response has closed its connection; none is owed any more.
+   * Notifies the handler that the client of a request without a response has closed its connection,
+   * so that no response is owed any more.
    */
   void clientDisconnected(String traceId);
 
   /**
-   * The client of a request without a response has ended its sending, and may or may not still
-   * read.
+   * Notifies the handler that the client of a request without a response has half-closed its
+   * connection. It may or may not still read the response.
    */
   void clientHalfClosed(String traceId);
 
   /**
-   * The client waits for responses that come behind that of this request: it has to be completed
-   * now, whatever becomes of it. A no-op where it is completed.
+   * Completes a request at once, whatever its outcome, because the responses to later requests of
+   * its client are overdue. Does nothing if the request is already completed.
    */
   void abort(String traceId);
 
-  /** Whether a request with this trace id is in flight, or an attempt of it is. */
+  /** Returns whether a request with this trace id, or an attempt of it, is in flight. */
   boolean isInFlight(String traceId);
 
-  /** Whether a request that arrived now could be served. */
+  /** Returns whether a request that arrived now could be served. */
   boolean canServe();
 }
--- a/src/main/java/loadbalancer/downstream/RequestParser.java
+++ b/src/main/java/loadbalancer/downstream/RequestParser.java
@@ -23,16 +23,27 @@
 /** Validates the headers of requests for {@link HttpProtocol#API_PATH} and reads their values. */
 final class RequestParser {
 
-  /** A header that is a whole number has no more digits; a larger number is no time or work. */
+  /**
+   * Most digits that a whole number in a header may have; a larger number is not a valid timeout or
+   * work hint.
+   */
   private static final int MAX_DIGITS = 9;
 
-  /** Stands for the timeout of a request without one; exceeds every number of MAX_DIGITS digits. */
+  /**
+   * Timeout of a request that states none; it exceeds every number of {@link #MAX_DIGITS} digits.
+   */
   private static final long MAX_TIMEOUT_MILLIS = 1_000_000_000L;
 
-  /** Characters of a trace id, tenant or affinity key: these outlive the request in memory. */
+  /**
+   * Most characters that a trace id, tenant or affinity key may have, as these stay in memory
+   * longer than the request.
+   */
   private static final int MAX_IDENTIFIER_LENGTH = 128;
 
-  /** The client's timeout starts when it sends the request and ends when it has the response. */
+  /**
+   * Time that is subtracted from the timeout for the network, as the client's timeout starts when
+   * it sends the request and ends when it has received the response.
+   */
   private static final long NETWORK_ALLOWANCE_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
 
   private final MonotonicClock clock;
@@ -55,19 +66,19 @@
     }
   }
 
-  /** Clock reading at which a request that is read now arrived at the latest. */
+  /** Returns the earliest clock reading at which a request that is read now may have arrived. */
   long earliestArrivalNanos() {
     return clock.nowNanos() - lagMonitor.lagNanos();
   }
 
-  /** The present clock reading. */
+  /** Returns the current clock reading. */
   long nowNanos() {
     return clock.nowNanos();
   }
 
   /**
-   * Clock reading at which a request's time is over: its class's deadline at the latest, or the
-   * longest of all for one whose class is not known.
+   * Returns the clock reading at which a request's timeout ends, which is limited by the deadline
+   * of its class, or by the longest deadline of all classes if its class is unknown.
    */
   long deadlineNanos(FullHttpRequest request, long arrivedAtNanos) {
     RequestClass requestClass = classes.get(request.headers().get(HttpProtocol.CLASS_HEADER, ""));
@@ -77,10 +88,11 @@
   }
 
   /**
-   * Parses a decoded request without retaining it, or says what is wrong with it.
+   * Parses a decoded request without retaining it. Returns an error if it is invalid.
    *
-   * @param arrivedAtNanos its {@link #earliestArrivalNanos}, from which its timeout runs
-   * @param response where its response goes
+   * @param arrivedAtNanos clock reading of its earliest possible arrival, from which its timeout
+   *     runs
+   * @param response receives its response
    */
   RoutingResult parse(FullHttpRequest request, long arrivedAtNanos, ResponseSink response) {
     HttpHeaders headers = request.headers();
@@ -107,7 +119,7 @@
     return build(request, arrivedAtNanos, response, traceId, requestClass, tenant, timeoutMillis);
   }
 
-  /** Null for a valid tenant, or none. */
+  /** Returns an error for an invalid tenant, and null for a valid one or none. */
   private LocalReply validateTenant(String tenant) {
     if (tenant == null) {
       return null;
@@ -121,7 +133,10 @@
     return null;
   }
 
-  /** Without the key no upstream could drop the repeat of a request that has run. */
+  /**
+   * Returns whether the idempotency key that the class requires is missing. Without it, no upstream
+   * could drop the repetition of a request that has run.
+   */
   private static boolean lacksIdempotencyKey(RequestClass requestClass, HttpHeaders headers) {
     return requestClass.idempotence() == Idempotence.IDEMPOTENCY_KEY
         && headers.get(HttpProtocol.IDEMPOTENCY_KEY_HEADER, "").isEmpty();
@@ -136,7 +151,7 @@
       String tenant,
       long timeoutMillis) {
     HttpHeaders headers = request.headers();
-    // The class's deadline bounds how long the request stays in memory, whatever its timeout.
+    // The deadline of the class limits how long the request stays in memory, whatever its timeout.
     long timeoutNanos =
         Math.min(requestClass.deadlineNanos(), TimeUnit.MILLISECONDS.toNanos(timeoutMillis));
     return new DownstreamRequest(
@@ -152,13 +167,13 @@
         response);
   }
 
-  /** Negative for a header that is not a number. */
+  /** Returns the timeout of a request, or a negative value if its header is not a number. */
   private static long timeoutMillis(HttpHeaders headers) {
     String timeout = headers.get(HttpProtocol.TIMEOUT_HEADER);
     return timeout == null ? MAX_TIMEOUT_MILLIS : parseWholeNumber(timeout);
   }
 
-  /** An invalid hint counts as none. */
+  /** Returns the work hint of a request, or 0 if it is missing or invalid. */
   private static long workHintNanos(HttpHeaders headers) {
     long micros = parseWholeNumber(headers.get(HttpProtocol.WORK_HINT_HEADER, "0"));
     return TimeUnit.MICROSECONDS.toNanos(Math.max(0, micros));
@@ -175,12 +190,14 @@
     return null;
   }
 
-  /** Keys stay in memory, so that a long one is replaced by its hash. */
+  /** Returns the key, or its hash if it is too long, as keys stay in memory. */
   private static String hashIfTooLong(String key) {
     return key.length() <= MAX_IDENTIFIER_LENGTH ? key : Integer.toHexString(key.hashCode());
   }
 
-  /** The number, or -1 for anything but 1 to {@link #MAX_DIGITS} decimal digits. */
+  /**
+   * Returns the number, or -1 if the text is anything but 1 to {@link #MAX_DIGITS} decimal digits.
+   */
   private static long parseWholeNumber(String text) {
     if (text.isEmpty() || text.length() > MAX_DIGITS) {
       return -1;
--- a/src/main/java/loadbalancer/downstream/RequestRouter.java
+++ b/src/main/java/loadbalancer/downstream/RequestRouter.java
@@ -5,7 +5,10 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 import loadbalancer.http.HttpProtocol;
 
-/** Decides by path, method and state which requests the handler gets; replies to the others. */
+/**
+ * Selects the requests that the handler gets by path, method and listener state, and replies to the
+ * others.
+ */
 final class RequestRouter {
 
   private final RequestHandler handler;
@@ -18,28 +21,28 @@
     this.listenerState = listenerState;
   }
 
-  /** Clock reading at which a request that is read now arrived at the latest. */
+  /** Returns the earliest clock reading at which a request that is read now may have arrived. */
   long earliestArrivalNanos() {
     return parser.earliestArrivalNanos();
   }
 
-  /** Clock reading at which a request's time is over, if it is well-formed. */
+  /** Returns the clock reading at which a request's timeout ends, if it is well formed. */
   long deadlineNanos(FullHttpRequest request, long arrivedAtNanos) {
     return parser.deadlineNanos(request, arrivedAtNanos);
   }
 
-  /** The present clock reading. */
+  /** Returns the current clock reading. */
   long nowNanos() {
     return parser.nowNanos();
   }
 
   /**
-   * Routes a request in its turn, without retaining it.
+   * Routes a request, without retaining it, when its turn has come.
    *
-   * @param arrivedAtNanos its {@link #earliestArrivalNanos}: pipelined ones have waited for their
-   *     turn
-   * @param response where the handler is to respond to it
-   * @param clientHalfClosed whether its client has ended its sending
+   * @param arrivedAtNanos clock reading of its earliest possible arrival, since which a pipelined
+   *     request has waited for its turn
+   * @param response receives the response of the handler
+   * @param clientHalfClosed whether the client has half-closed the connection
    */
   RoutingResult route(
       FullHttpRequest request,
@@ -74,7 +77,7 @@
 
   private RoutingResult admit(DownstreamRequest request, boolean clientHalfClosed) {
     if (handler.isInFlight(request.traceId())) {
-      // Accepting it would confuse it, and its effect, with the request that has this id.
+      // If it were accepted, it and its effect would be confused with the request that has this id.
       return new LocalReply(
           HttpResponseStatus.CONFLICT,
           HttpProtocol.TRACE_ID_HEADER + " is that of a request in flight");
@@ -85,7 +88,7 @@
     return request;
   }
 
-  /** Whether a request is for a path, with or without a query. */
+  /** Returns whether a request is for a path, with or without a query. */
   private static boolean hasPath(FullHttpRequest request, String path) {
     String uri = request.uri();
     return uri.startsWith(path)
--- a/src/main/java/loadbalancer/downstream/ResponseFactory.java
+++ b/src/main/java/loadbalancer/downstream/ResponseFactory.java
@@ -10,17 +10,23 @@
 import io.netty.handler.codec.http.HttpVersion;
 import java.math.BigDecimal;
 
-/** Builds the HTTP responses to clients. */
+/** Creates the HTTP responses to clients. */
 final class ResponseFactory {
 
   private static final double NANOS_PER_MILLI = 1e6;
 
-  /** {@code Retry-After} is sent in seconds with this many decimals: in milliseconds. */
+  /**
+   * Number of decimals of {@code Retry-After}, which is in seconds with a resolution of
+   * milliseconds.
+   */
   private static final int RETRY_AFTER_DECIMALS = 3;
 
   private ResponseFactory() {}
 
-  /** The response owns a retained duplicate of the content; see {@link ResponseSink#respond}. */
+  /**
+   * Creates a response that owns a retained duplicate of the content; see {@link
+   * ResponseSink#respond}.
+   */
   static FullHttpResponse create(
       HttpResponseStatus status,
       long retryAfterNanos,
--- a/src/main/java/loadbalancer/downstream/ResponseSink.java
+++ b/src/main/java/loadbalancer/downstream/ResponseSink.java
@@ -3,19 +3,22 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.handler.codec.http.HttpResponseStatus;
 
-/** Where the one final response of a client's request goes. */
+/** The receiver of the one final response to a client's request. */
 public interface ResponseSink {
 
   /**
-   * Responds to the client; a no-op where its connection is closed.
+   * Sends the response to the client, or does nothing if the connection is closed.
    *
-   * @param retryAfterNanos the wait to advise before a retry; 0 for no advice
-   * @param contentType null for none
-   * @param content stays the caller's to release
+   * @param retryAfterNanos the advised delay before a retry; 0 for none
+   * @param contentType type of the content; null for none
+   * @param content body of the response, which the caller still has to release
    */
   void respond(
       HttpResponseStatus status, long retryAfterNanos, CharSequence contentType, ByteBuf content);
 
-  /** Whether the client is still connected, by everything that has arrived from it up to now. */
+  /**
+   * Returns whether the response is still awaited: it has not been sent, and the client has neither
+   * disconnected nor half-closed its connection. All input that has arrived is read first.
+   */
   boolean isResponseAwaited();
 }
--- a/src/main/java/loadbalancer/downstream/RoutingResult.java
+++ b/src/main/java/loadbalancer/downstream/RoutingResult.java
@@ -1,4 +1,4 @@
 package loadbalancer.downstream;
 
-/** What becomes of a client's request: it is accepted for the handler, or replied to locally. */
+/** The result of routing a client's request: a request for the handler, or a local reply. */
 sealed interface RoutingResult permits DownstreamRequest, LocalReply {}
--- a/src/main/java/loadbalancer/downstream/package-info.java
+++ b/src/main/java/loadbalancer/downstream/package-info.java
@@ -5,6 +5,6 @@
  * descriptors run out. Each connection serves one request at a time, parses it into a {@link
  * loadbalancer.downstream.DownstreamRequest} and hands it to a {@link
  * loadbalancer.downstream.RequestHandler}, which responds through a {@link
- * loadbalancer.downstream.ResponseSink}. All state here belongs to one event loop.
+ * loadbalancer.downstream.ResponseSink}. All state is confined to one event loop.
  */
 package loadbalancer.downstream;
--- a/src/main/java/loadbalancer/package-info.java
+++ b/src/main/java/loadbalancer/package-info.java
@@ -1,8 +1,8 @@
 /**
- * A load-balancing proxy for fleets of HTTP servers: entry point and subcommands.
+ * Entry point and subcommands of a load-balancing proxy for fleets of HTTP servers.
  *
- * <p>{@code loadbalancer.decision} makes every decision and is free of input and output. {@code
- * loadbalancer.proxy} runs it behind real sockets ({@code serve}), {@code loadbalancer.simulator}
- * behind the simulator's wire ({@code drill}).
+ * <p>{@code loadbalancer.decision} makes all decisions and performs no input or output. {@code
+ * loadbalancer.proxy} runs it with real sockets ({@code serve}), and {@code loadbalancer.simulator}
+ * runs it with the simulator's protocol ({@code drill}).
  */
 package loadbalancer;
