--- a/src/test/java/loadbalancer/ArchitectureTest.java
+++ b/src/test/java/loadbalancer/ArchitectureTest.java
@@ -25,15 +25,18 @@
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 
-/** The rules between packages: decisions are pure, what is below knows nothing of what is above. */
+/**
+ * Checks the rules between packages: decisions have no side effects, and lower packages do not
+ * depend on higher ones.
+ */
 @AnalyzeClasses(packages = "loadbalancer", importOptions = ImportOption.DoNotIncludeTests.class)
 class ArchitectureTest {
 
   private static final Path SOURCES = Path.of("src/main/java");
 
   /**
-   * Every package right below the root; a new one has to be named here and so comes under the
-   * rules.
+   * Every package directly below the root. A new one has to be listed here, so that the rules are
+   * extended to it.
    */
   private static final Set<String> TOP_PACKAGES =
       Set.of(
@@ -51,7 +54,8 @@
           "upstream");
 
   /**
-   * No I/O, no clock, no threads, no logging, no libraries: only these, and no part of them below.
+   * Decisions use no I/O, clocks, threads, logging or libraries: only these packages, without the
+   * classes that the next rule excludes.
    */
   @ArchTest
   final ArchRule decisionsDependOnlyOnThemselves =
@@ -67,7 +71,10 @@
               "java.util.function",
               "java.util.stream");
 
-  /** What java.lang and java.util hold of clocks, environment, processes, threads and input. */
+  /**
+   * Excludes the classes of java.lang and java.util that give access to clocks, the environment,
+   * processes, threads and input.
+   */
   @ArchTest
   final ArchRule decisionsUseNoClocksEnvironmentOrThreads =
       noClasses()
@@ -82,7 +89,7 @@
                   + "|java\\.util\\.(Calendar|Currency|Date|GregorianCalendar|Locale|Properties"
                   + "|ResourceBundle|Scanner|ServiceLoader|Timer|TimerTask|TimeZone|UUID)(\\$.*)?");
 
-  /** The only chance in a decision is the seed that it was handed. */
+  /** The only source of randomness in decisions is the seed that they are given. */
   @ArchTest
   final ArchRule decisionsUseNoRandomnessButTheirSeed =
       noClasses()
@@ -110,7 +117,7 @@
   final ArchRule topPackagesAreFreeOfCycles =
       slices().matching("loadbalancer.(*)..").should().beFreeOfCycles();
 
-  /** What each package may use besides itself, the interface of decisions, http, json and net. */
+  /** The packages that each package may use besides itself and {@link #COMMON}. */
   private static final Map<String, Set<String>> ALLOWED =
       Map.of(
           "config", Set.of("discovery"),
@@ -143,7 +150,7 @@
         });
   }
 
-  /** What of the JDK is not for all to use: the signals of the entry point alone. */
+  /** Only the entry point uses internals of the JDK, to handle signals. */
   @ArchTest
   final ArchRule onlyTheEntryPointUsesInternalsOfTheJdk =
       noClasses()
--- a/src/test/java/loadbalancer/DecisionModulesTest.java
+++ b/src/test/java/loadbalancer/DecisionModulesTest.java
@@ -14,12 +14,15 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The decision logic is cut into modules with one job each, which the deploy file names. */
+/**
+ * Checks that the decision logic is divided into modules with one responsibility each, and that the
+ * deploy file lists them.
+ */
 class DecisionModulesTest {
 
   private static final Path DECISIONS = Path.of("src/main/java/loadbalancer/decision");
 
-  /** A module with more lines has more than one job. */
+  /** Most lines of a module; a longer one has more than one responsibility. */
   private static final int MAX_MODULE_LINES = 220;
 
   @Test
@@ -31,7 +34,7 @@
     }
   }
 
-  /** The deploy file names each file of the decision logic, and no other. */
+  /** The deploy file lists every file of the decision logic, and no other. */
   @Test
   void deployFileNamesTheDecisionLogic() throws IOException {
     String deploy = Files.readString(Path.of("deploy/balancer.toml"));
@@ -47,7 +50,10 @@
         named);
   }
 
-  /** All sources of the package, without its API, which other packages share, and its comment. */
+  /**
+   * Returns all sources of the package but package-info.java. Its API, which other packages share,
+   * is in a subpackage.
+   */
   private static List<Path> sources() throws IOException {
     try (Stream<Path> files = Files.list(DECISIONS)) {
       return files
--- a/src/test/java/loadbalancer/DeploymentTest.java
+++ b/src/test/java/loadbalancer/DeploymentTest.java
@@ -17,12 +17,15 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * What {@code run} in the deploy file does before the virtual machine starts: a stand-in prints its
- * arguments.
+ * Tests what {@code run} in the deploy file does before it starts the Java virtual machine, for
+ * which a stub prints its arguments.
  */
 class DeploymentTest {
 
-  /** Index of the page faults of ended children in /proc/PID/stat, counted from behind the name. */
+  /**
+   * Index of the minor page faults of ended children in /proc/PID/stat, counted from the field
+   * after the name.
+   */
   private static final int CHILD_FAULTS_INDEX = 8;
 
   @TempDir Path folder;
@@ -43,7 +46,7 @@
     Matcher run =
         Pattern.compile("(?s)^run = (\"|''')(.*?)\\1", Pattern.MULTILINE)
             .matcher(Files.readString(Path.of("deploy/balancer.toml")));
-    assertTrue(run.find(), "the deploy file names run");
+    assertTrue(run.find(), "the deploy file defines run");
     File out = folder.resolve("out").toFile();
     File err = folder.resolve("err").toFile();
     ProcessBuilder builder =
@@ -51,7 +54,7 @@
     builder.environment().put("PATH", folder.toString());
     builder.environment().put("ROUTER_CONFIG", folder.resolve("config").toString());
     Process process = builder.start();
-    assertTrue(process.waitFor(1, TimeUnit.MINUTES), "ends");
+    assertTrue(process.waitFor(1, TimeUnit.MINUTES), "exits within the timeout");
     assertEquals("", Files.readString(err.toPath()));
     List<String> lines = Files.readAllLines(out.toPath());
     return new Start(process.pid(), lines.get(0), lines.subList(1, lines.size()));
@@ -69,7 +72,8 @@
   }
 
   /**
-   * Where a load balancer may neither start programs nor fork, a shell that does never becomes one.
+   * A shell that forks or starts other programs fails in an environment that forbids both, and
+   * never executes the load balancer.
    */
   @Test
   void execsIntoTheVirtualMachineWithoutAnotherProcess() throws IOException, InterruptedException {
--- a/src/test/java/loadbalancer/MainTest.java
+++ b/src/test/java/loadbalancer/MainTest.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Exit statuses of the command line, and what it prints where. */
+/** Tests the exit statuses of the command line and its output on both standard streams. */
 class MainTest {
 
   private final ByteArrayOutputStream out = new ByteArrayOutputStream();
@@ -37,7 +37,9 @@
   void reportsMalformedInputInOneLineAndExitsWithOne() throws IOException {
     assertEquals(1, run("{\"clock-ns\":1,\"groups\":[]}\n{\"clock-ns\":\n{}\n", "drill"));
     assertEquals(
-        "{\"groups\":[]}\n", out.toString(StandardCharsets.UTF_8), "nothing after the line before");
+        "{\"groups\":[]}\n",
+        out.toString(StandardCharsets.UTF_8),
+        "no output after the valid line");
     assertEquals(
         1,
         err.toString(StandardCharsets.UTF_8).lines().count(),
--- a/src/test/java/loadbalancer/PackagedJarIT.java
+++ b/src/test/java/loadbalancer/PackagedJarIT.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The packaged jar as it is shipped, in a process of its own. */
+/** Tests the packaged jar in a process of its own. */
 class PackagedJarIT {
 
   @TempDir Path folder;
@@ -42,7 +42,7 @@
             .redirectOutput(file("out"))
             .redirectError(file("err"))
             .start();
-    assertTrue(process.waitFor(1, TimeUnit.MINUTES), "ends when its input ends");
+    assertTrue(process.waitFor(1, TimeUnit.MINUTES), "exits when its input ends");
     return process.exitValue();
   }
 
@@ -77,7 +77,7 @@
     return serve(config, List.of());
   }
 
-  /** Starts a proxy, by way of a command that becomes the one behind it. */
+  /** Starts a proxy by way of a wrapper, which executes the command that follows it. */
   private Process serve(String config, List<String> wrapper) throws IOException {
     Files.writeString(folder.resolve("config"), config);
     List<String> command = new ArrayList<>(wrapper);
@@ -114,7 +114,8 @@
                 .readLine()
                 .startsWith("HTTP/1.1 400 "));
         process.destroy();
-        assertTrue(process.waitFor(1, TimeUnit.MINUTES), "an idle client does not hold it up");
+        assertTrue(
+            process.waitFor(1, TimeUnit.MINUTES), "an idle client does not hold up the exit");
       }
       assertEquals(0, process.exitValue(), text("err"));
       assertTrue(text("err").contains("shutdown_complete"), text("err"));
@@ -123,7 +124,7 @@
     }
   }
 
-  /** SIGHUP ends a virtual machine that does not handle it. */
+  /** A Java virtual machine that does not handle SIGHUP is terminated by it. */
   @Test
   void readsTheConfigurationAgainOnSighupAndRejectsABadOneInOneLine()
       throws IOException, InterruptedException {
@@ -139,14 +140,14 @@
       sendSighup(process);
       awaitLine(process, "configuration_rejected reason=");
       process.destroy();
-      assertTrue(process.waitFor(1, TimeUnit.MINUTES), "still listens to SIGTERM");
+      assertTrue(process.waitFor(1, TimeUnit.MINUTES), "SIGTERM is still handled");
       assertEquals(0, process.exitValue(), text("err"));
     } finally {
       process.destroyForcibly();
     }
   }
 
-  /** Started with SIGHUP ignored, as by nohup, the virtual machine handles none. */
+  /** A Java virtual machine that is started with SIGHUP ignored, as by nohup, cannot handle it. */
   @Test
   void readsTheConfigurationAgainOnAFileChangeWhereSighupIsIgnored()
       throws IOException, InterruptedException {
@@ -165,7 +166,7 @@
     }
   }
 
-  /** It still waits for discovery, and no client ever came to it. */
+  /** The process is still waiting for discovery, and no client has connected. */
   @Test
   void exitsAtOnceOnSigtermBeforeItListens() throws IOException, InterruptedException {
     try (ServerSocket discovery = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
@@ -176,7 +177,7 @@
       try (Socket silent = discovery.accept()) {
         assertTrue(silent.isConnected());
         process.destroy();
-        assertTrue(process.waitFor(1, TimeUnit.MINUTES), "ends");
+        assertTrue(process.waitFor(1, TimeUnit.MINUTES), "exits within the timeout");
         assertEquals(0, process.exitValue(), text("err"));
         assertFalse(text("err").contains("listening address="), text("err"));
       } finally {
@@ -185,7 +186,7 @@
     }
   }
 
-  /** The second signal finds the shutdown begun, and changes nothing. */
+  /** Further signals during a shutdown have no effect. */
   @Test
   void shutsDownOnceOnTwoSigterms() throws IOException, InterruptedException {
     Process process = serve(Files.readString(Path.of("deploy/example.json")));
@@ -195,7 +196,7 @@
       awaitLine(process, "shutdown_started");
       process.destroy();
       sendSighup(process);
-      assertTrue(process.waitFor(1, TimeUnit.MINUTES), "ends");
+      assertTrue(process.waitFor(1, TimeUnit.MINUTES), "exits within the timeout");
       assertEquals(0, process.exitValue(), text("err"));
       assertEquals(
           1,
@@ -234,7 +235,7 @@
                 .replace("127.0.0.1:0", "somewhere:8000"),
             Files.readString(Path.of("deploy/example.json")).replace("400000000", "-4"))) {
       Process process = serve(config);
-      assertTrue(process.waitFor(1, TimeUnit.MINUTES), "ends");
+      assertTrue(process.waitFor(1, TimeUnit.MINUTES), "exits within the timeout");
       assertEquals(1, process.exitValue());
       assertEquals(1, text("err").lines().count(), text("err"));
       assertTrue(text("err").startsWith("start_failed reason=\""), text("err"));
--- a/src/test/java/loadbalancer/downstream/ClientConnectionFailureTest.java
+++ b/src/test/java/loadbalancer/downstream/ClientConnectionFailureTest.java
@@ -17,7 +17,7 @@
 import loadbalancer.testing.ProxyFixture;
 import org.junit.jupiter.api.Test;
 
-/** Failures in the pipeline of a client's connection that the client has no part in. */
+/** Tests failures in the pipeline of a client connection that the client has not caused. */
 class ClientConnectionFailureTest {
 
   private final List<DownstreamRequest> accepted = new ArrayList<>();
@@ -43,7 +43,7 @@
         .addHandlers();
   }
 
-  /** Notes what it accepts, and answers when the test does. */
+  /** Records the requests that it accepts; the test responds to them. */
   private final class AcceptingHandler implements RequestHandler {
     @Override
     public void accept(DownstreamRequest request) {
@@ -83,13 +83,13 @@
     return sent.toString();
   }
 
-  /** For want of memory to read into, say. */
+  /** The failure is, for example, a lack of memory for the read buffer. */
   @Test
   void respondsToARequestInFlightAfterAFailure() {
     receive(ProxyFixture.get("t", ""));
     assertEquals(1, accepted.size());
     channel.pipeline().fireExceptionCaught(new OutOfMemoryError("no buffer"));
-    assertTrue(channel.isOpen(), "open until the response");
+    assertTrue(channel.isOpen(), "the connection stays open until the response");
     accepted
         .get(0)
         .response()
--- a/src/test/java/loadbalancer/downstream/ClientDisconnectTest.java
+++ b/src/test/java/loadbalancer/downstream/ClientDisconnectTest.java
@@ -22,13 +22,18 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Clients that disconnect while their request is queued, or while an attempt is decided. */
+/**
+ * Tests clients that disconnect while their request is queued, or while the engine starts an
+ * attempt.
+ */
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
 class ClientDisconnectTest {
 
   private static final long ATTEMPT_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(30);
 
-  /** The engine queues the request, so that no attempt of it can end. */
+  /**
+   * The engine queues the request and starts no attempt of it, whose end could be reported instead.
+   */
   @Test
   void reportsDisconnectOfAClientWhoseRequestIsQueued() throws Exception {
     ScriptedEngine engine = new ScriptedEngine((event, actions) -> {});
@@ -42,7 +47,7 @@
     }
   }
 
-  /** The connection has to be read on behind pipelined requests, or its end goes unnoticed. */
+  /** The connection has to be read even while requests are queued, or its end goes unnoticed. */
   @Test
   void reportsDisconnectOfAClientWithPipelinedRequests() throws Exception {
     ScriptedEngine engine = new ScriptedEngine((event, actions) -> {});
@@ -57,7 +62,9 @@
     }
   }
 
-  /** The engine decides while the disconnect is in the kernel and not read yet. */
+  /**
+   * The engine starts the attempt when the disconnect has reached the kernel and has not been read.
+   */
   @ParameterizedTest
   @EnumSource(DisconnectKind.class)
   void doesNotSendAnAttemptDecidedWhileItsClientDisconnects(DisconnectKind kind) throws Exception {
@@ -81,7 +88,8 @@
       assertEquals(AttemptStatus.NOT_SENT, engine.awaitEvent(AttemptEnded.class).status());
       if (kind == DisconnectKind.HALF_CLOSE) {
         assertTrue(
-            client.readResponse().startsWith("HTTP/1.1 503 "), "a final response: it has not run");
+            client.readResponse().startsWith("HTTP/1.1 503 "),
+            "the response says that it has not run");
         assertNull(client.readResponse());
       }
       assertTrue(other.exchange(ProxyFixture.get("stays", "")).startsWith("HTTP/1.1 200 "));
@@ -90,7 +98,10 @@
     }
   }
 
-  /** The same for a retry, decided in the turn of the event loop in which the client leaves. */
+  /**
+   * Likewise for a retry that is started in the turn of the event loop in which the client
+   * disconnects.
+   */
   @ParameterizedTest
   @EnumSource(DisconnectKind.class)
   void doesNotSendARetryOnceItsClientHasDisconnected(DisconnectKind kind) throws Exception {
@@ -117,9 +128,11 @@
       assertEquals(AttemptStatus.NOT_SENT, retry.status());
       assertTrue(retry.isRequestAnswered(), "no further action of the engine is expected");
       if (kind == DisconnectKind.HALF_CLOSE) {
-        assertTrue(client.readResponse().startsWith("HTTP/1.1 503 "), "it has not run");
+        assertTrue(
+            client.readResponse().startsWith("HTTP/1.1 503 "),
+            "the response says that it has not run");
       }
-      assertTrue(second.connections.isEmpty(), "not sent");
+      assertTrue(second.connections.isEmpty(), "the second attempt was not sent");
     }
   }
 
--- a/src/test/java/loadbalancer/downstream/ClientHalfCloseTest.java
+++ b/src/test/java/loadbalancer/downstream/ClientHalfCloseTest.java
@@ -29,13 +29,19 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Clients that end their sending and still read: nothing new is started for them. */
+/**
+ * Tests clients that half-close their connection and still read: no further attempt is started for
+ * them.
+ */
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
 class ClientHalfCloseTest {
 
   private static final long ATTEMPT_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(30);
 
-  /** The client half-closes between two attempts: the engine is not asked for the second. */
+  /**
+   * The client half-closes before the first attempt fails, and the engine is not asked for a second
+   * one.
+   */
   @Test
   void doesNotRetryForAHalfClosedClient() throws Exception {
     CountDownLatch signal = new CountDownLatch(1);
@@ -59,7 +65,9 @@
       AttemptEnded ended = engine.awaitEvent(AttemptEnded.class);
       assertEquals(AttemptStatus.ERROR, ended.status());
       assertTrue(ended.isRequestAnswered(), "no further action of the engine is expected");
-      assertTrue(client.readResponse().startsWith("HTTP/1.1 500 "), "it may have run");
+      assertTrue(
+          client.readResponse().startsWith("HTTP/1.1 500 "),
+          "the response says that it may have run");
       assertNull(client.readResponse());
       assertNull(upstream.requests.poll(), "not sent again");
     }
@@ -75,7 +83,10 @@
         });
   }
 
-  /** Its request was sent to an upstream before: the client may be reading for the response. */
+  /**
+   * The request was sent to an upstream before the half-close, and the client may still read the
+   * response.
+   */
   @Test
   void deliversTheResponseToAHalfClosedClient() throws Exception {
     CountDownLatch signal = new CountDownLatch(1);
@@ -90,11 +101,13 @@
       signal.countDown();
       String response = client.readResponse();
       assertTrue(response.startsWith("HTTP/1.1 200 ") && response.endsWith("\r\n\r\nx"), response);
-      assertNull(client.readResponse(), "and then the connection ends");
+      assertNull(client.readResponse(), "the connection is closed after the response");
     }
   }
 
-  /** The first attempt is at an upstream that is slow to respond; it may still succeed. */
+  /**
+   * The first attempt, at an upstream that is slow to respond, may still succeed; no hedge is sent.
+   */
   @Test
   void doesNotSendAHedgedRequestForAHalfClosedClient() throws Exception {
     AtomicReference<Client> halfClosing = new AtomicReference<>();
@@ -130,7 +143,10 @@
     }
   }
 
-  /** Neither the connection attempt nor the client has to wait any longer. */
+  /**
+   * The client gets its response at once, although the connection to the upstream is still being
+   * established.
+   */
   @Test
   void rejectsAConnectingRequestAtOnceWhenItsClientHalfCloses() throws Exception {
     ScriptedEngine engine = new ScriptedEngine(0);
@@ -141,14 +157,16 @@
       client.write(ProxyFixture.get("t", ""));
       engine.awaitEvent(RequestArrived.class);
       client.socket.shutdownOutput();
-      assertTrue(client.readResponse().startsWith("HTTP/1.1 503 "), "it has not run");
+      assertTrue(
+          client.readResponse().startsWith("HTTP/1.1 503 "),
+          "the response says that it has not run");
       assertNull(client.readResponse());
       engine.awaitEvent(ClientDisconnected.class);
       assertEquals(AttemptStatus.NOT_SENT, engine.awaitEvent(AttemptEnded.class).status());
     }
   }
 
-  /** Connecting to its one upstream takes longer than any test. */
+  /** Returns a configuration with one upstream, and a connect timeout that no test reaches. */
   private static BalancerConfig configWithLongConnectTimeout(String address) throws IOException {
     String endpoints = ProxyFixture.list(1, true, ProxyFixture.member("s-1", address, "ready"));
     int connectTimeoutMillis = 1000 * ProxyFixture.TIMEOUT_SECONDS;
@@ -156,7 +174,7 @@
         DownstreamFixture.UNREACHABLE, endpoints, "on_request", connectTimeoutMillis, 1024, "");
   }
 
-  /** Its turn comes after the half-close, behind a slow request. */
+  /** The request is queued behind a slow one, and its turn comes after the half-close. */
   @Test
   void rejectsPipelinedRequestsOfAHalfClosedClient() throws Exception {
     CountDownLatch signal = new CountDownLatch(1);
@@ -170,13 +188,15 @@
       DownstreamFixture.awaitInputRead(proxy);
       signal.countDown();
       assertTrue(client.readResponse().startsWith("HTTP/1.1 200 "));
-      assertTrue(client.readResponse().startsWith("HTTP/1.1 503 "), "it has not run");
+      assertTrue(
+          client.readResponse().startsWith("HTTP/1.1 503 "),
+          "the response says that it has not run");
       assertNull(client.readResponse());
       assertNull(upstream.requests.poll(), "not sent");
     }
   }
 
-  /** Nothing is owed for a partial request, so that the connection just ends. */
+  /** A partial request gets no response; the connection is just closed. */
   @ParameterizedTest
   @CsvSource({"''", "GET /api HT"})
   void closesAHalfClosedConnectionWithoutACompleteRequest(String part) throws Exception {
--- a/src/test/java/loadbalancer/downstream/ClientInputTest.java
+++ b/src/test/java/loadbalancer/downstream/ClientInputTest.java
@@ -11,13 +11,13 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.junit.jupiter.api.Test;
 
-/** What is read of a client at once. */
+/** Tests how much input of a client is read at once. */
 class ClientInputTest {
 
   private static final long WHOLE_REQUEST_BYTES = 1 << 16;
   private static final long TIMEOUT_SECONDS = 10;
 
-  /** A connection on which there is always more to read. */
+  /** A connection that always has more input. */
   private static final class EndlessChannel extends NioSocketChannel {
 
     private final AtomicLong bytes = new AtomicLong();
@@ -48,8 +48,8 @@
       group.register(channel).syncUninterruptibly();
       boolean done =
           group.next().submit(input::readPending).await(TIMEOUT_SECONDS, TimeUnit.SECONDS);
-      assertTrue(done, "it reads on and on");
-      assertTrue(channel.bytes.get() >= WHOLE_REQUEST_BYTES, "a whole request fits");
+      assertTrue(done, "the read does not end");
+      assertTrue(channel.bytes.get() >= WHOLE_REQUEST_BYTES, "less than a whole request was read");
     } finally {
       channel.close();
       group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
--- a/src/test/java/loadbalancer/downstream/DownstreamFixture.java
+++ b/src/test/java/loadbalancer/downstream/DownstreamFixture.java
@@ -8,7 +8,7 @@
 import loadbalancer.testing.ProxyFixture;
 import loadbalancer.testing.ProxyFixture.Client;
 
-/** Configurations, upstreams and client behaviour that the tests of client connections share. */
+/** Configurations, upstreams and client behavior that the tests of client connections share. */
 final class DownstreamFixture {
 
   static final String UNREACHABLE = "127.0.0.1:1";
@@ -16,7 +16,7 @@
 
   private DownstreamFixture() {}
 
-  /** How a client disconnects. */
+  /** The ways in which a client disconnects. */
   enum DisconnectKind {
     HALF_CLOSE,
     RESET;
@@ -35,7 +35,7 @@
     }
   }
 
-  /** Knows one ready upstream or more, named {@code s-1}, {@code s-2} and so on. */
+  /** Returns a configuration with ready upstreams named {@code s-1}, {@code s-2} and so on. */
   static BalancerConfig config(FakeServer... upstreams) throws IOException {
     String[] members = new String[upstreams.length];
     for (int i = 0; i < upstreams.length; i++) {
@@ -44,7 +44,7 @@
     return ProxyFixture.config(UNREACHABLE, ProxyFixture.list(1, true, members));
   }
 
-  /** Responds to every request, once signalled. */
+  /** Returns a server that responds to every request once it is signaled. */
   static FakeServer respondingAfter(CountDownLatch signal) throws IOException {
     return new FakeServer(
         connection -> {
@@ -56,8 +56,9 @@
   }
 
   /**
-   * Waits until the proxy has read what clients did before: by its second response it has polled
-   * all sockets once more, and carried out what followed from that.
+   * Waits until the proxy has handled everything that clients have sent or closed before. When its
+   * second response arrives, it has polled all sockets once more and performed the actions that
+   * followed.
    */
   static void awaitInputRead(ProxyFixture proxy) throws IOException {
     for (int i = 0; i < 2; i++) {
--- a/src/test/java/loadbalancer/downstream/MisbehavingClientTest.java
+++ b/src/test/java/loadbalancer/downstream/MisbehavingClientTest.java
@@ -20,14 +20,20 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Clients that send invalid requests, too much, or nothing: each gets an error or a close. */
+/**
+ * Tests clients that send invalid requests, too much, or nothing: each gets an error, or its
+ * connection is closed.
+ */
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
 class MisbehavingClientTest {
 
   private static final String TENANTS =
       "\"projects\":[{\"name\":\"acme\",\"portion\":1.0,\"quota-per-s\":100000.0}],";
 
-  /** The error says what is wrong, the connection ends, and what follows on it is not read. */
+  /**
+   * The client gets an error with a status for its cause, the connection is closed, and further
+   * requests on it are ignored.
+   */
   @ParameterizedTest
   @CsvSource(
       delimiter = '|',
@@ -102,7 +108,7 @@
     }
   }
 
-  /** Waiting requests take memory. */
+  /** Queued requests take memory, so that their number is limited. */
   @Test
   void rejectsTooManyPipelinedRequests() throws Exception {
     CountDownLatch signal = new CountDownLatch(1);
@@ -116,7 +122,7 @@
       }
       client.write(requests.toString());
       for (int i = 0; i < 200; i++) {
-        // For each response the proxy polls all sockets, and reads on beyond the limit.
+        // For each response the proxy polls all sockets, and could read beyond the limit.
         other.exchange(DownstreamFixture.HEALTH_CHECK);
       }
       signal.countDown();
@@ -133,7 +139,7 @@
     }
   }
 
-  /** Else another client could interfere with a request, and its effect, by using its id. */
+  /** Otherwise another client could interfere with a request, and its effect, by using its id. */
   @Test
   void rejectsATraceIdThatIsInFlight() throws Exception {
     CountDownLatch signal = new CountDownLatch(1);
@@ -148,7 +154,7 @@
       assertTrue(client.readResponse().startsWith("HTTP/1.1 200 "));
       assertTrue(
           otherClient.exchange(ProxyFixture.get("t", "")).startsWith("HTTP/1.1 200 "),
-          "free again");
+          "reusable after the response");
       assertEquals(2, upstream.requests.size() + 1);
     }
   }
@@ -168,7 +174,9 @@
     }
   }
 
-  /** Clients that connect and send nothing, or never finish, must not hold descriptors. */
+  /**
+   * Clients that connect and send nothing, or only part of a request, must not hold descriptors.
+   */
   @ParameterizedTest
   @CsvSource(
       delimiter = '|',
@@ -185,7 +193,9 @@
       client.write(part.replace("~", "\r\n"));
       String response = client.readResponse();
       assertTrue(expected.isEmpty() ? response == null : response.startsWith(expected), response);
-      assertTrue(response == null || client.readResponse() == null, "and the connection ends");
+      assertTrue(
+          response == null || client.readResponse() == null,
+          "the connection is closed after the response");
     }
   }
 
@@ -204,10 +214,10 @@
       for (int i = 0; i < 60; i++) {
         silent.add(proxy.client());
       }
-      assertNull(silent.get(0).readResponse(), "closed");
+      assertNull(silent.get(0).readResponse(), "the connection is closed");
       assertTrue(
           idle.exchange(DownstreamFixture.HEALTH_CHECK).startsWith("HTTP/1.1 200 "),
-          "one that has sent a request stays");
+          "one that has sent a request stays connected");
       signal.countDown();
       assertTrue(served.readResponse().startsWith("HTTP/1.1 200 "));
     } finally {
@@ -217,7 +227,7 @@
     }
   }
 
-  /** Not only closes the connection: the client learns why. */
+  /** The client gets an error before its connection is closed. */
   @Test
   void rejectsABodyOverTheMemoryBudget() throws Exception {
     String text =
@@ -239,7 +249,10 @@
     }
   }
 
-  /** Responds to its first request once signalled, and waits until its connection is closed. */
+  /**
+   * Returns a server that responds to its first request once it is signaled, and then waits until
+   * the connection is closed.
+   */
   private static FakeServer respondingOnce(String body, CountDownLatch signal) throws IOException {
     return new FakeServer(
         connection -> {
--- a/src/test/java/loadbalancer/downstream/RequestParserTest.java
+++ b/src/test/java/loadbalancer/downstream/RequestParserTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The limits of what request headers may say. */
+/** Tests the limits on the values of request headers. */
 class RequestParserTest {
 
   private final MonotonicClock clock = new MonotonicClock();
--- a/src/test/java/loadbalancer/known/KnownFailures.java
+++ b/src/test/java/loadbalancer/known/KnownFailures.java
@@ -11,9 +11,9 @@
 import org.opentest4j.TestAbortedException;
 
 /**
- * Passes over the tests that KNOWN-RED.txt in the repository's folder lists, and prints how they
- * failed; a listed test that passes fails. Each line of the file is {@code Class.method | cause |
- * issue}.
+ * A JUnit extension for known failures. It aborts the failing tests that are listed in
+ * KNOWN-RED.txt at the root of the repository, and prints how they failed; a listed test that
+ * passes is reported as a failure. Each line of the file is {@code Class.method | cause | issue}.
  */
 public final class KnownFailures
     implements TestExecutionExceptionHandler, AfterTestExecutionCallback {
--- a/src/test/java/loadbalancer/known/package-info.java
+++ b/src/test/java/loadbalancer/known/package-info.java
@@ -1,2 +1,2 @@
-/** Tests that are known to fail; shared with the tests of the soak harness. */
+/** Support for tests that are known to fail, shared with the tests of the soak harness. */
 package loadbalancer.known;
--- a/src/test/java/loadbalancer/testing/DiscoveryMessages.java
+++ b/src/test/java/loadbalancer/testing/DiscoveryMessages.java
@@ -7,22 +7,25 @@
 import loadbalancer.discovery.EndpointList;
 import loadbalancer.net.MonotonicClock;
 
-/** What a discovery agent sends, and the endpoint ids that its names get. */
+/** Messages of a discovery agent, and the endpoint ids that its names are mapped to. */
 public final class DiscoveryMessages {
 
   private DiscoveryMessages() {}
 
-  /** The head of a watch's response with its first line; further lines are chunks of their own. */
+  /**
+   * Returns the head of a watch's response and its first line; each further line is a {@link
+   * #chunk}.
+   */
   public static String watchResponse(String line) {
     return "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(line);
   }
 
-  /** A further line of a watch, as one chunk. */
+  /** Returns a further line of a watch, as one chunk. */
   public static String chunk(String line) {
     return Integer.toHexString(line.length() + 1) + "\r\n" + line + "\n\r\n";
   }
 
-  /** The id that the decision engine knows an endpoint by, from its name on the list. */
+  /** Returns the id by which the decision engine knows the endpoint of this name. */
   public static long endpointId(String name) {
     EndpointList.Member member =
         new EndpointList.Member(name, null, "a", 0, EndpointState.READY, 1, 0);
--- a/src/test/java/loadbalancer/testing/EventLoopSteps.java
+++ b/src/test/java/loadbalancer/testing/EventLoopSteps.java
@@ -12,32 +12,36 @@
 import loadbalancer.testing.ProxyFixture.ScriptedEngine;
 
 /**
- * Runs a test's steps on a proxy's event loop, and so forces the order of events: the loop stands
- * still while a step runs. A step runs when the engine handles a request with {@link
+ * Runs the steps of a test on a proxy's event loop to force an order of events, as the event loop
+ * is blocked while a step runs. A step runs when the engine handles a request with {@link
  * #TRIGGER_HEADER}.
  */
 public final class EventLoopSteps {
 
-  /** Makes a request a cue. */
+  /** Header line of a request that triggers a step. */
   public static final String TRIGGER_HEADER = "X-Size-Hint: 7\r\n";
 
-  /** A step on the event loop; it may have the proxy carry out actions. */
+  /** A step on the event loop, which may have the proxy perform actions. */
   public interface Step {
     void run(Consumer<Action> actions);
   }
 
   private final BlockingQueue<Step> steps = new LinkedBlockingQueue<>();
 
-  /** Adds what the next cue without a step does; a cue without any does nothing. */
+  /**
+   * Appends a step. Each trigger runs the next step that has not run yet, or does nothing if there
+   * is none.
+   */
   public void add(Step step) {
     steps.add(step);
   }
 
   /**
-   * An engine that rejects every cue after its step, and starts one attempt of every other request.
+   * Returns an engine that rejects every trigger after its step, and starts one attempt of every
+   * other request.
    *
-   * @param endpoint the name of the endpoint that all attempts go to
-   * @param timeoutNanos the attempts' time-out
+   * @param endpoint name of the endpoint of all attempts
+   * @param timeoutNanos timeout of each attempt
    */
   public ScriptedEngine engine(String endpoint, long timeoutNanos) {
     return new ScriptedEngine(
@@ -58,7 +62,7 @@
         });
   }
 
-  /** Lets time pass on the calling thread, where the time itself is part of the order. */
+  /** Blocks the calling thread, where an order of events depends on elapsed time. */
   public static void sleep(long millis) {
     try {
       Thread.sleep(millis);
--- a/src/test/java/loadbalancer/testing/FakeServer.java
+++ b/src/test/java/loadbalancer/testing/FakeServer.java
@@ -19,28 +19,28 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A server on loopback whose every connection follows a script, byte for byte: an upstream or a
- * discovery agent. Each connection's script runs on a thread of its own.
+ * A server on loopback that acts as an upstream or a discovery agent. Each connection runs a
+ * script, on a thread of its own, that determines every byte that is sent.
  */
 public final class FakeServer implements AutoCloseable {
 
   private static final int ACCEPT_BACKLOG = 50;
 
-  /** What a connection does; it is closed when the script returns. */
+  /** The behavior of a connection, which is closed when the script returns. */
   public interface Script {
     void run(Connection connection) throws IOException, InterruptedException;
   }
 
-  /** All requests that were read, in the order of their last bytes. */
+  /** All requests that have been read completely, in the order of their completion. */
   public final BlockingQueue<String> requests = new LinkedBlockingQueue<>();
 
-  /** All connections that were accepted, in order. */
+  /** All accepted connections, in order. */
   public final BlockingQueue<Connection> connections = new LinkedBlockingQueue<>();
 
   private final List<Socket> openSockets = new CopyOnWriteArrayList<>();
   private final ServerSocket listener;
 
-  /** Starts a server on a port that the system chooses. */
+  /** Starts a server on an ephemeral port. */
   public FakeServer(Script script) throws IOException {
     listener = new ServerSocket(0, ACCEPT_BACKLOG, InetAddress.getLoopbackAddress());
     start(() -> acceptAll(script));
@@ -76,14 +76,14 @@
               try {
                 task.run();
               } catch (IOException | InterruptedException e) {
-                // The connection or the server was closed: the test is over, or did so on purpose.
+                // The connection or the server was closed, by the test or at its end.
               }
             });
     thread.setDaemon(true);
     thread.start();
   }
 
-  /** Starts a server that responds to every request alike. */
+  /** Starts a server that sends the same response to every request. */
   public static FakeServer respondingWith(String response) throws IOException {
     return new FakeServer(
         connection -> {
@@ -93,12 +93,12 @@
         });
   }
 
-  /** A complete response with status 200. */
+  /** Returns a complete response with status 200. */
   public static String ok(String body) {
     return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
   }
 
-  /** Where it listens, as host:port. */
+  /** Returns the address of the server, as host:port. */
   public String address() {
     return "127.0.0.1:" + ((InetSocketAddress) listener.getLocalSocketAddress()).getPort();
   }
@@ -111,14 +111,17 @@
     }
   }
 
-  /** Reads HTTP messages, of servers and of clients. */
+  /** Reader of HTTP messages from servers and clients. */
   public static final class MessageReader {
 
     private static final String LENGTH = "content-length:";
 
     private MessageReader() {}
 
-    /** The next message's head and body as they came; null at the end of the connection. */
+    /**
+     * Returns the head and body of the next message as received, or null at the end of the
+     * connection.
+     */
     public static String read(InputStream in) throws IOException {
       ByteArrayOutputStream bytes = new ByteArrayOutputStream();
       while (!bytes.toString(StandardCharsets.ISO_8859_1).endsWith("\r\n\r\n")) {
@@ -138,20 +141,20 @@
     }
   }
 
-  /** A connection that was accepted. */
+  /** An accepted connection. */
   public final class Connection {
 
     private final Socket socket;
     private final InputStream in;
     private final CountDownLatch scriptEnded = new CountDownLatch(1);
 
-    /** Takes over a socket. */
+    /** Wraps the socket of the connection. */
     public Connection(Socket socket) throws IOException {
       this.socket = socket;
       in = new BufferedInputStream(socket.getInputStream());
     }
 
-    /** Waits for a request; null once the other side has closed. */
+    /** Waits for a request. Returns null once the peer has closed the connection. */
     public String readRequest() throws IOException {
       String request = MessageReader.read(in);
       if (request != null) {
@@ -160,13 +163,13 @@
       return request;
     }
 
-    /** Sends a text as it is. */
+    /** Sends a text unchanged. */
     public void write(String text) throws IOException {
       socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
       socket.getOutputStream().flush();
     }
 
-    /** Reads until what was read ends with this text, or the other side closes. */
+    /** Reads until the input ends with this text, or the peer closes the connection. */
     public void readUntil(String end) throws IOException {
       StringBuilder read = new StringBuilder();
       while (!read.toString().endsWith(end)) {
@@ -184,14 +187,17 @@
       socket.close();
     }
 
-    /** Waits until the script is through: its last read found the end, or it closed. */
+    /**
+     * Waits until the script has ended, because it found the end of the connection or closed it.
+     * Returns false if it has not ended at the timeout.
+     */
     public boolean awaitScriptEnd() throws InterruptedException {
       return scriptEnded.await(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
     /**
-     * Waits until the other side closes; false if it sends more first, or is still there at the
-     * time-out.
+     * Waits until the peer closes the connection. Returns false if it sends more first, or has not
+     * closed at the timeout.
      */
     public boolean awaitClose() {
       try {
@@ -200,7 +206,7 @@
       } catch (SocketTimeoutException e) {
         return false;
       } catch (IOException e) {
-        // Closed on this side too, or reset: over either way.
+        // Closed on this side too, or reset; it has ended in both cases.
         return true;
       }
     }
--- a/src/test/java/loadbalancer/testing/ProxyFixture.java
+++ b/src/test/java/loadbalancer/testing/ProxyFixture.java
@@ -35,7 +35,10 @@
  */
 public final class ProxyFixture implements AutoCloseable {
 
-  /** A generous limit for what has to happen: no test passes by its running out. */
+  /**
+   * Limit on the wait for an expected event, in seconds. It exceeds the duration of any such wait,
+   * and no test passes because it expires.
+   */
   public static final int TIMEOUT_SECONDS = 60;
 
   private static final String CLASS_FORMAT =
@@ -47,27 +50,27 @@
   /** A decision engine that follows a script and records its events. */
   public static final class ScriptedEngine implements DecisionEngine {
 
-    /** What the engine does at an event, on the event loop. */
+    /** The reaction of the engine to an event, which runs on the event loop. */
     public interface Script {
       void handle(Event event, Consumer<Action> actions);
     }
 
-    /** The events that {@link #awaitEvent} has not returned or skipped yet. */
+    /** The events that {@link #awaitEvent} has neither returned nor skipped yet. */
     public final BlockingQueue<Event> events = new LinkedBlockingQueue<>();
 
-    /** The ids of all endpoints that it was notified of, each once and in that order. */
+    /** The distinct ids of all endpoints that the engine was notified of, in that order. */
     public final List<Long> endpointIds = new ArrayList<>();
 
     private final Script script;
 
-    /** Makes an engine that does the same step at every event. */
+    /** Creates an engine that runs a script at every event. */
     public ScriptedEngine(Script script) {
       this.script = script;
     }
 
     /**
-     * Makes an engine that starts one attempt of every request, at the first endpoint, and fails
-     * the request if that does not serve it.
+     * Creates an engine that starts one attempt of every request, at the first endpoint, and fails
+     * the request if the attempt does not complete it.
      */
     public ScriptedEngine(long timeoutNanos) {
       this.script =
@@ -93,11 +96,11 @@
       script.handle(event, actions);
     }
 
-    /** Waits for the next event of a kind, and skips all others before it. */
+    /** Waits for the next event of a type, and skips all others before it. */
     public <T extends Event> T awaitEvent(Class<T> kind) throws InterruptedException {
       while (true) {
         Event event = events.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
-        assertNotNull(event, "no " + kind.getSimpleName() + " came");
+        assertNotNull(event, "no " + kind.getSimpleName() + " arrived");
         if (kind.isInstance(event)) {
           return kind.cast(event);
         }
@@ -108,33 +111,33 @@
   /** A client's connection to a proxy. */
   public static final class Client implements AutoCloseable {
 
-    /** For tests that close, reset or fill it. */
+    /** The socket, for tests that close, reset or fill it. */
     public final Socket socket;
 
     private final InputStream in;
 
-    /** Connects. */
+    /** Connects to a proxy. */
     public Client(ProxyServer server) throws IOException {
       socket = new Socket(InetAddress.getLoopbackAddress(), server.address().getPort());
       socket.setSoTimeout(TIMEOUT_SECONDS * 1000);
       in = new BufferedInputStream(socket.getInputStream());
     }
 
-    /** Sends a text as it is. */
+    /** Sends a text unchanged. */
     public Client write(String text) throws IOException {
-      // Fetched once: what is written may lead to the connection's end.
+      // Obtained before the write, as the connection may be closed in response to it.
       OutputStream out = socket.getOutputStream();
       out.write(text.getBytes(StandardCharsets.ISO_8859_1));
       out.flush();
       return this;
     }
 
-    /** Waits for the next response; null once the proxy has closed. */
+    /** Waits for the next response. Returns null once the proxy has closed the connection. */
     public String readResponse() throws IOException {
       return FakeServer.MessageReader.read(in);
     }
 
-    /** Sends a request and waits for the response. */
+    /** Sends a request and returns the response. */
     public String exchange(String text) throws IOException {
       return write(text).readResponse();
     }
@@ -145,16 +148,16 @@
     }
   }
 
-  /** The proxy, which listens. */
+  /** The proxy, which is listening. */
   public final ProxyServer server;
 
-  /** Starts a proxy around a decision engine, which also takes over if it throws. */
+  /** Starts a proxy with a decision engine, which also replaces itself if it throws. */
   public ProxyFixture(BalancerConfig config, DecisionEngine engine) throws IOException {
     server = ProxyServer.prepare(config, generation -> engine, 0);
     server.listen();
   }
 
-  /** Starts a proxy with its real decision engine. */
+  /** Starts a proxy with the real decision engine. */
   public ProxyFixture(BalancerConfig config) throws IOException {
     server =
         ProxyServer.prepare(
@@ -174,7 +177,7 @@
     server.shutDownNow();
   }
 
-  /** An idempotent request with further header lines, each ended by CRLF. */
+  /** Returns an idempotent request with further header lines, each ending with CRLF. */
   public static String get(String traceId, String lines) {
     return "GET /api?q=1 HTTP/1.1\r\nHost: backend.local\r\nX-Trace-Id: "
         + traceId
@@ -183,7 +186,7 @@
         + "\r\n";
   }
 
-  /** A request of a class with idempotency keys, with further header lines and a body. */
+  /** Returns a request of a class with idempotency keys, with further header lines and a body. */
   public static String post(String traceId, String lines, String body) {
     return "POST /api HTTP/1.1\r\nHost: backend.local\r\nX-Trace-Id: "
         + traceId
@@ -195,7 +198,7 @@
         + body;
   }
 
-  /** A member of discovery's list. */
+  /** Returns a member of discovery's list. */
   public static String member(String name, String address, String phase) {
     return """
     {"id":"%s","host_port":"%s","locality":"a","flavor":"m","cell":0,"phase":"%s",\
@@ -204,7 +207,7 @@
         .formatted(name, address, phase);
   }
 
-  /** Discovery's list, or changes to it. */
+  /** Returns discovery's list, or changes to it. */
   public static String list(int revision, boolean complete, String... members) {
     return """
     {"revision":%d,"complete":%b,"members":[%s]}\
@@ -212,12 +215,12 @@
         .formatted(revision, complete, String.join(",", members));
   }
 
-  /** A configuration with polled discovery and usual limits. */
+  /** Returns a configuration with polled discovery and the limits that most tests use. */
   public static BalancerConfig config(String discovery, String known) throws IOException {
     return config(discovery, known, "on_request", 200, 1024, "");
   }
 
-  /** The configuration that {@link #configText} words. */
+  /** Returns the configuration in {@link #configText}. */
   public static BalancerConfig config(
       String discovery,
       String known,
@@ -231,12 +234,12 @@
   }
 
   /**
-   * A configuration file.
+   * Returns the text of a configuration file.
    *
    * @param discovery host:port of the discovery agent
-   * @param known the list known at the start
+   * @param known the endpoint list that is known at the start
    * @param mode {@code on_request} or {@code pushed}
-   * @param more further fields, each ended by a comma
+   * @param more further fields, each followed by a comma
    */
   public static String configText(
       String discovery,
--- a/src/test/java/loadbalancer/testing/UnresponsiveUpstream.java
+++ b/src/test/java/loadbalancer/testing/UnresponsiveUpstream.java
@@ -8,13 +8,13 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** An upstream whose backlog of connections is full: new connections are not established. */
+/** An upstream whose accept queue is full, so that new connections are not established. */
 public final class UnresponsiveUpstream implements AutoCloseable {
 
   private final ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
   private final List<Socket> backlog = new ArrayList<>();
 
-  /** Listens, and connects until nothing more is established. */
+  /** Listens, and connects until no further connection is established. */
   public UnresponsiveUpstream() throws IOException {
     while (true) {
       Socket socket = new Socket();
@@ -33,8 +33,8 @@
   }
 
   /**
-   * Empties the backlog and returns the proxy's connection, which is established when the kernel
-   * repeats its SYN after a second.
+   * Empties the accept queue and returns the proxy's connection, which is established when the
+   * kernel retransmits its SYN after a second.
    */
   public Socket accept() throws IOException {
     while (true) {
--- a/src/test/java/loadbalancer/testing/package-info.java
+++ b/src/test/java/loadbalancer/testing/package-info.java
@@ -1,5 +1,5 @@
 /**
  * Fixtures for tests over real loopback sockets: a proxy with a scripted or a real decision engine
- * and its clients, and servers that follow a script byte for byte.
+ * and its clients, and servers that send what a script determines.
  */
 package loadbalancer.testing;
