--- a/src/main/java/loadbalancer/downstream/AcceptRetryHandler.java
+++ b/src/main/java/loadbalancer/downstream/AcceptRetryHandler.java
@@ -8,9 +8,9 @@
 import loadbalancer.telemetry.LogValues;
 
 /**
- * Resumes accepting shortly after the system failed to accept a connection, for example for lack of
- * descriptors or memory. The handler takes the place of Netty's own error handling, which would
- * pause for a second. Confined to the event loop.
+ * A handler that resumes accepting shortly after the system failed to accept a connection, for
+ * example for lack of descriptors or memory. It takes the place of Netty's own error handling,
+ * which would pause for a second. Confined to the event loop.
  */
 final class AcceptRetryHandler extends ChannelInboundHandlerAdapter {
 
--- a/src/main/java/loadbalancer/downstream/DownstreamRequest.java
+++ b/src/main/java/loadbalancer/downstream/DownstreamRequest.java
@@ -8,7 +8,7 @@
  *
  * @param traceId the id that the client has given the request, unique among the requests in flight
  * @param tenant name of the tenant; null for none
- * @param affinityKey key by which requests share endpoints; null for none
+ * @param affinityKey requests with equal keys share endpoints; null for none
  * @param workHintNanos the expected cost of the request; 0 if unknown
  * @param retry whether the client says that it repeats an earlier request
  * @param deadlineNanos clock reading at which the client stops waiting, less an allowance for the
--- a/src/main/java/loadbalancer/downstream/InboundBytesHandler.java
+++ b/src/main/java/loadbalancer/downstream/InboundBytesHandler.java
@@ -5,7 +5,7 @@
 import io.netty.channel.ChannelInboundHandlerAdapter;
 
 /**
- * Notifies a connection before and after its bytes are decoded, and drops the bytes of discarded
+ * A handler that tracks the decoding of a connection's bytes, and drops the bytes of discarded
  * input.
  */
 final class InboundBytesHandler extends ChannelInboundHandlerAdapter {
--- a/src/main/java/loadbalancer/downstream/RequestAggregator.java
+++ b/src/main/java/loadbalancer/downstream/RequestAggregator.java
@@ -18,8 +18,8 @@
 import loadbalancer.http.HttpProtocol;
 
 /**
- * Aggregates the parts of a request into a complete one, and counts the bodies of its connection
- * against the {@link BodyBudget}.
+ * An aggregator of the parts of a request into a complete one. It counts the bodies of its
+ * connection against the {@link BodyBudget}.
  *
  * <p>The only response it sends itself is {@code 100 Continue}. A request that is too large is
  * passed on as one whose decoding failed, so that its error is sent in order with the other
--- a/src/main/java/loadbalancer/downstream/RequestDecoder.java
+++ b/src/main/java/loadbalancer/downstream/RequestDecoder.java
@@ -5,8 +5,8 @@
 import io.netty.handler.codec.http.HttpRequestDecoder;
 
 /**
- * Decodes requests, and tracks whether one has arrived only in part. Decoding fails for a request
- * with two lengths, or with both a length and Transfer-Encoding.
+ * A decoder of requests that tracks whether one has arrived only in part. Decoding fails for a
+ * request with two lengths, or with both a length and Transfer-Encoding.
  */
 final class RequestDecoder extends HttpRequestDecoder {
 
--- a/src/main/java/loadbalancer/downstream/RequestParser.java
+++ b/src/main/java/loadbalancer/downstream/RequestParser.java
@@ -20,7 +20,10 @@
 import loadbalancer.net.MonotonicClock;
 import loadbalancer.telemetry.EventLoopLagMonitor;
 
-/** Validates the headers of requests for {@link HttpProtocol#API_PATH} and reads their values. */
+/**
+ * A parser that validates the headers of requests for {@link HttpProtocol#API_PATH} and reads their
+ * values.
+ */
 final class RequestParser {
 
   /**
--- a/src/main/java/loadbalancer/downstream/RequestRouter.java
+++ b/src/main/java/loadbalancer/downstream/RequestRouter.java
@@ -6,8 +6,8 @@
 import loadbalancer.http.HttpProtocol;
 
 /**
- * Selects the requests that the handler gets by path, method and listener state, and replies to the
- * others.
+ * A router that selects by path, method and listener state the requests that the handler gets, and
+ * replies to the others.
  */
 final class RequestRouter {
 
--- a/src/main/java/loadbalancer/downstream/ResponseFactory.java
+++ b/src/main/java/loadbalancer/downstream/ResponseFactory.java
@@ -10,7 +10,7 @@
 import io.netty.handler.codec.http.HttpVersion;
 import java.math.BigDecimal;
 
-/** Creates the HTTP responses to clients. */
+/** A factory of the HTTP responses to clients. */
 final class ResponseFactory {
 
   private static final double NANOS_PER_MILLI = 1e6;
--- a/src/test/java/loadbalancer/downstream/MisbehavingClientTest.java
+++ b/src/test/java/loadbalancer/downstream/MisbehavingClientTest.java
@@ -108,7 +108,7 @@
     }
   }
 
-  /** Queued requests take memory, so that their number is limited. */
+  /** Queued requests take memory, so their number is limited. */
   @Test
   void rejectsTooManyPipelinedRequests() throws Exception {
     CountDownLatch signal = new CountDownLatch(1);
--- a/src/test/java/loadbalancer/known/KnownFailures.java
+++ b/src/test/java/loadbalancer/known/KnownFailures.java
@@ -20,7 +20,7 @@
 
   private static final String FILE = "KNOWN-RED.txt";
 
-  private final List<String> listedTests = readList();
+  private final List<String> listedTests = readListedTests();
 
   @Override
   public void handleTestExecutionException(ExtensionContext context, Throwable failure)
@@ -49,17 +49,17 @@
         + context.getRequiredTestMethod().getName();
   }
 
-  private static List<String> readList() {
+  private static List<String> readListedTests() {
     for (Path folder = Path.of("").toAbsolutePath(); folder != null; folder = folder.getParent()) {
       Path file = folder.resolve(FILE);
       if (Files.exists(file)) {
-        return names(file);
+        return readTestNames(file);
       }
     }
     return List.of();
   }
 
-  private static List<String> names(Path file) {
+  private static List<String> readTestNames(Path file) {
     try {
       return Files.readAllLines(file).stream().map(line -> line.split("\\|", 2)[0].trim()).toList();
     } catch (IOException e) {
--- a/src/test/java/loadbalancer/testing/EventLoopSteps.java
+++ b/src/test/java/loadbalancer/testing/EventLoopSteps.java
@@ -12,8 +12,8 @@
 import loadbalancer.testing.ProxyFixture.ScriptedEngine;
 
 /**
- * Runs the steps of a test on a proxy's event loop to force an order of events, as the event loop
- * is blocked while a step runs. A step runs when the engine handles a request with {@link
+ * A queue of test steps that run on a proxy's event loop to force an order of events, as the event
+ * loop is blocked while a step runs. A step runs when the engine handles a request with {@link
  * #TRIGGER_HEADER}.
  */
 public final class EventLoopSteps {
--- a/src/test/java/loadbalancer/testing/FakeServer.java
+++ b/src/test/java/loadbalancer/testing/FakeServer.java
@@ -170,9 +170,9 @@
     }
 
     /** Reads until the input ends with this text, or the peer closes the connection. */
-    public void readUntil(String end) throws IOException {
+    public void readUntil(String suffix) throws IOException {
       StringBuilder read = new StringBuilder();
-      while (!read.toString().endsWith(end)) {
+      while (!read.toString().endsWith(suffix)) {
         int next = in.read();
         if (next < 0) {
           return;
--- a/src/test/java/loadbalancer/testing/ProxyFixture.java
+++ b/src/test/java/loadbalancer/testing/ProxyFixture.java
@@ -178,20 +178,20 @@
   }
 
   /** Returns an idempotent request with further header lines, each ending with CRLF. */
-  public static String get(String traceId, String lines) {
+  public static String get(String traceId, String headerLines) {
     return "GET /api?q=1 HTTP/1.1\r\nHost: backend.local\r\nX-Trace-Id: "
         + traceId
         + "\r\nX-Qos: safe\r\n"
-        + lines
+        + headerLines
         + "\r\n";
   }
 
   /** Returns a request of a class with idempotency keys, with further header lines and a body. */
-  public static String post(String traceId, String lines, String body) {
+  public static String post(String traceId, String headerLines, String body) {
     return "POST /api HTTP/1.1\r\nHost: backend.local\r\nX-Trace-Id: "
         + traceId
         + "\r\nX-Qos: keyed\r\n"
-        + lines
+        + headerLines
         + "Content-Length: "
         + body.length()
         + "\r\n\r\n"
@@ -216,20 +216,22 @@
   }
 
   /** Returns a configuration with polled discovery and the limits that most tests use. */
-  public static BalancerConfig config(String discovery, String known) throws IOException {
-    return config(discovery, known, "on_request", 200, 1024, "");
+  public static BalancerConfig config(String discovery, String initialEndpoints)
+      throws IOException {
+    return config(discovery, initialEndpoints, "on_request", 200, 1024, "");
   }
 
   /** Returns the configuration in {@link #configText}. */
   public static BalancerConfig config(
       String discovery,
-      String known,
+      String initialEndpoints,
       String mode,
       int connectTimeoutMillis,
       int sockets,
-      String more)
+      String moreFields)
       throws IOException {
-    String text = configText(discovery, known, mode, connectTimeoutMillis, sockets, more);
+    String text =
+        configText(discovery, initialEndpoints, mode, connectTimeoutMillis, sockets, moreFields);
     return BalancerConfig.parse(text, Map.of());
   }
 
@@ -237,17 +239,17 @@
    * Returns the text of a configuration file.
    *
    * @param discovery host:port of the discovery agent
-   * @param known the endpoint list that is known at the start
+   * @param initialEndpoints the endpoint list that is known at the start
    * @param mode {@code on_request} or {@code pushed}
-   * @param more further fields, each followed by a comma
+   * @param moreFields further fields, each followed by a comma
    */
   public static String configText(
       String discovery,
-      String known,
+      String initialEndpoints,
       String mode,
       int connectTimeoutMillis,
       int sockets,
-      String more) {
+      String moreFields) {
     return """
     {"name":"n0","listen":"127.0.0.1:0","discovery":"%s","seed":"8c1f30d27a5be964",\
     "limits":{"cores":1.0,"memory_mb":192,"sockets":%d},%s"known":%s,\
@@ -259,8 +261,8 @@
         .formatted(
             discovery,
             sockets,
-            more,
-            known,
+            moreFields,
+            initialEndpoints,
             mode,
             CLASS_FORMAT.formatted("safe", "idempotent"),
             CLASS_FORMAT.formatted("keyed", "deduplicated"),
--- a/src/test/java/loadbalancer/testing/package-info.java
+++ b/src/test/java/loadbalancer/testing/package-info.java
@@ -1,5 +1,5 @@
 /**
  * Fixtures for tests over real loopback sockets: a proxy with a scripted or a real decision engine
- * and its clients, and servers that send what a script determines.
+ * and its clients, and scripted servers.
  */
 package loadbalancer.testing;
