--- a/src/main/java/loadbalancer/downstream/InboundBytesHandler.java
+++ b/src/main/java/loadbalancer/downstream/InboundBytesHandler.java
@@ -4,7 +4,10 @@
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
 
-/** Sees a connection's bytes before and after they are decoded; drops those it no longer reads. */
+/**
+ * A handler that tracks the decoding of a connection's bytes, and drops the bytes of discarded
+ * input.
+ */
 final class InboundBytesHandler extends ChannelInboundHandlerAdapter {
 
   private final ClientConnection connection;
--- a/src/main/java/loadbalancer/downstream/ListenerChannel.java
+++ b/src/main/java/loadbalancer/downstream/ListenerChannel.java
@@ -6,17 +6,22 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** The listening socket. It knows how long the connections that it accepts may have waited. */
+/** The listening socket. It tracks how long the connections that it accepts may have waited. */
 public final class ListenerChannel extends NioServerSocketChannel {
 
-  /** The queue is surely empty of what waited so long after accepting has recovered. */
-  private static final long CATCH_UP_NANOS = TimeUnit.SECONDS.toNanos(1);
+  /**
+   * Time after accepting has recovered in which all connections that waited in the queue are
+   * accepted.
+   */
+  private static final long RECOVERY_NANOS = TimeUnit.SECONDS.toNanos(1);
 
-  /** When accepting failed for the first time since the queue was empty; 0 if it did not. */
+  /**
+   * {@code System.nanoTime} of the first failed accept call since the queue was empty; 0 for none.
+   */
   private long failingSinceNanos;
 
-  /** When it succeeded again; 0 if it has not yet. */
-  private long recoveredNanos;
+  /** {@code System.nanoTime} of the first successful accept call after that; 0 for none yet. */
+  private long recoveredAtNanos;
 
   @Override
   protected int doReadMessages(List<Object> accepted) throws IOException {
@@ -25,17 +30,17 @@
       failingSinceNanos = 0;
       return 0;
     }
-    accepted.add(new ClientChannel(this, socket, waitedNanos(System.nanoTime())));
+    accepted.add(new ClientChannel(this, socket, acceptDelayNanos(System.nanoTime())));
     return 1;
   }
 
-  private long waitedNanos(long nowNanos) {
+  private long acceptDelayNanos(long nowNanos) {
     if (failingSinceNanos == 0) {
       return 0;
     }
-    recoveredNanos = recoveredNanos == 0 ? nowNanos : recoveredNanos;
-    if (nowNanos - recoveredNanos > CATCH_UP_NANOS) {
-      // The queue was never seen empty: as many waited in it as are accepted in one turn.
+    recoveredAtNanos = recoveredAtNanos == 0 ? nowNanos : recoveredAtNanos;
+    if (nowNanos - recoveredAtNanos > RECOVERY_NANOS) {
+      // No call found the queue empty, as it always held as many connections as one turn accepts.
       failingSinceNanos = 0;
       return 0;
     }
@@ -47,7 +52,7 @@
       return javaChannel().accept();
     } catch (IOException e) {
       failingSinceNanos = failingSinceNanos == 0 ? System.nanoTime() : failingSinceNanos;
-      recoveredNanos = 0;
+      recoveredAtNanos = 0;
       throw e;
     }
   }
--- a/src/test/java/loadbalancer/DeploymentTest.java
+++ b/src/test/java/loadbalancer/DeploymentTest.java
@@ -17,18 +17,21 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * What {@code run} in the deploy file does before the virtual machine starts: a stand-in prints its
- * arguments.
+ * Tests what {@code run} in the deploy file does before it starts the Java virtual machine, for
+ * which a stub prints its arguments.
  */
 class DeploymentTest {
 
-  /** Index of the page faults of ended children in /proc/PID/stat, counted from behind the name. */
-  private static final int CHILDREN_FAULTS = 8;
+  /**
+   * Index of the minor page faults of ended children in /proc/PID/stat, counted from the field
+   * after the name.
+   */
+  private static final int CHILD_FAULTS_INDEX = 8;
 
   @TempDir Path folder;
 
   @BeforeEach
-  void standIn() throws IOException {
+  void installStubJava() throws IOException {
     Files.writeString(
         folder.resolve("java"),
         "#!/bin/sh\nread -r stat < /proc/self/stat\nprintf '%s\\n' \"$stat\" \"$@\"\n");
@@ -36,14 +39,14 @@
         folder.resolve("java"), PosixFilePermissions.fromString("rwxr-xr-x"));
   }
 
-  private record Start(long shell, String stat, List<String> arguments) {}
+  private record Start(long shellPid, String stat, List<String> arguments) {}
 
   private Start run(String config) throws IOException, InterruptedException {
     Files.writeString(folder.resolve("config"), config);
     Matcher run =
         Pattern.compile("(?s)^run = (\"|''')(.*?)\\1", Pattern.MULTILINE)
             .matcher(Files.readString(Path.of("deploy/balancer.toml")));
-    assertTrue(run.find(), "the deploy file names run");
+    assertTrue(run.find(), "the deploy file defines run");
     File out = folder.resolve("out").toFile();
     File err = folder.resolve("err").toFile();
     ProcessBuilder builder =
@@ -51,7 +54,7 @@
     builder.environment().put("PATH", folder.toString());
     builder.environment().put("ROUTER_CONFIG", folder.resolve("config").toString());
     Process process = builder.start();
-    assertTrue(process.waitFor(1, TimeUnit.MINUTES), "ends");
+    assertTrue(process.waitFor(1, TimeUnit.MINUTES), "exits within the timeout");
     assertEquals("", Files.readString(err.toPath()));
     List<String> lines = Files.readAllLines(out.toPath());
     return new Start(process.pid(), lines.get(0), lines.subList(1, lines.size()));
@@ -60,22 +63,25 @@
   private void assertSizes(int heap, int buffers, String limits)
       throws IOException, InterruptedException {
     List<String> arguments = run("{\"limits\":{" + limits + "},\"settings\":{}}").arguments();
-    for (String wanted :
+    for (String expected :
         List.of(
             "-Xms" + heap + "m", "-Xmx" + heap + "m", "-XX:MaxDirectMemorySize=" + buffers + "m")) {
-      assertTrue(arguments.contains(wanted), () -> wanted + " for " + limits + " in " + arguments);
+      assertTrue(
+          arguments.contains(expected), () -> expected + " for " + limits + " in " + arguments);
     }
   }
 
   /**
-   * Where a load balancer may neither start programs nor fork, a shell that does never becomes one.
+   * A shell that forks or starts other programs fails in an environment that forbids both, and
+   * never executes the load balancer.
    */
   @Test
   void execsIntoTheVirtualMachineWithoutAnotherProcess() throws IOException, InterruptedException {
     Start start = run(Files.readString(Path.of("deploy/example.json")));
-    assertEquals(start.shell(), Long.parseLong(start.stat().split(" ", 0)[0]), "the same process");
-    String[] figures = start.stat().substring(start.stat().lastIndexOf(')') + 2).split(" ", 0);
-    assertEquals("0", figures[CHILDREN_FAULTS], "a forked child has run: " + start.stat());
+    assertEquals(
+        start.shellPid(), Long.parseLong(start.stat().split(" ", 0)[0]), "the same process");
+    String[] statFields = start.stat().substring(start.stat().lastIndexOf(')') + 2).split(" ", 0);
+    assertEquals("0", statFields[CHILD_FAULTS_INDEX], "a forked child has run: " + start.stat());
     assertEquals("serve", start.arguments().get(start.arguments().size() - 1));
   }
 
--- a/src/test/java/loadbalancer/downstream/RequestParserTest.java
+++ b/src/test/java/loadbalancer/downstream/RequestParserTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The limits of what request headers may say. */
+/** Tests the limits on the values of request headers. */
 class RequestParserTest {
 
   private final MonotonicClock clock = new MonotonicClock();
@@ -44,7 +44,7 @@
     request.headers().set(HttpProtocol.TRACE_ID_HEADER, "t");
     request.headers().set(HttpProtocol.CLASS_HEADER, "safe");
     request.headers().set(header, value);
-    return parser.parse(request, parser.arrivalNanos(), null);
+    return parser.parse(request, parser.earliestArrivalNanos(), null);
   }
 
   private DownstreamRequest parseAccepted(String header, String value) {
--- a/src/test/java/loadbalancer/known/KnownFailures.java
+++ b/src/test/java/loadbalancer/known/KnownFailures.java
@@ -11,16 +11,16 @@
 import org.opentest4j.TestAbortedException;
 
 /**
- * Passes over the tests that KNOWN-RED.txt in the repository's folder lists, and prints how they
- * failed; a listed test that passes fails. Each line of the file is {@code Class.method | cause |
- * issue}.
+ * A JUnit extension for known failures. It aborts the failing tests that are listed in
+ * KNOWN-RED.txt at the root of the repository, and prints how they failed; a listed test that
+ * passes is reported as a failure. Each line of the file is {@code Class.method | cause | issue}.
  */
 public final class KnownFailures
     implements TestExecutionExceptionHandler, AfterTestExecutionCallback {
 
   private static final String FILE = "KNOWN-RED.txt";
 
-  private final List<String> listed = readList();
+  private final List<String> listedTests = readListedTests();
 
   @Override
   public void handleTestExecutionException(ExtensionContext context, Throwable failure)
@@ -40,7 +40,7 @@
   }
 
   private boolean isListed(ExtensionContext context) {
-    return listed.contains(nameOf(context));
+    return listedTests.contains(nameOf(context));
   }
 
   private static String nameOf(ExtensionContext context) {
@@ -49,17 +49,17 @@
         + context.getRequiredTestMethod().getName();
   }
 
-  private static List<String> readList() {
+  private static List<String> readListedTests() {
     for (Path folder = Path.of("").toAbsolutePath(); folder != null; folder = folder.getParent()) {
       Path file = folder.resolve(FILE);
       if (Files.exists(file)) {
-        return names(file);
+        return readTestNames(file);
       }
     }
     return List.of();
   }
 
-  private static List<String> names(Path file) {
+  private static List<String> readTestNames(Path file) {
     try {
       return Files.readAllLines(file).stream().map(line -> line.split("\\|", 2)[0].trim()).toList();
     } catch (IOException e) {
