--- a/src/main/java/loadbalancer/decision/AdaptiveRateLimiter.java
+++ b/src/main/java/loadbalancer/decision/AdaptiveRateLimiter.java
@@ -3,26 +3,27 @@
 import loadbalancer.decision.SlidingWindow.Metric;
 
 /**
- * Admits by the published line from windowed mean latency, in parts of the latency objective, to
- * allowed rate. Its key is the route: class, tenant, over quota or not. Owns the fleet's window.
+ * Limits the rate at which requests are admitted, for each route (class, tenant, and whether over
+ * quota). The allowed rate falls linearly with the mean latency of the window, by the published
+ * formula. Latencies are in multiples of the latency objective. Owns the window of the fleet.
  */
 final class AdaptiveRateLimiter {
 
-  static final double MIN_VALUE = 0.5; // mean latency: half an objective is healthy
-  private static final double MAX_VALUE = 1.0; // and a whole one critical
-  private static final double HEADROOM = 1.1; // maximum rate over what the window was offered
-  private static final double MIN_RATE_PART = 0.02; // minimum rate over the maximum
-  // Between admissions. With long objectives the line alone may admit nothing for longer, and an
-  // instance that rejects everything would not learn that its endpoints are better.
+  static final double MIN_VALUE = 0.5; // mean latency up to which all are admitted
+  private static final double MAX_VALUE = 1.0; // mean latency from which few are admitted
+  private static final double HEADROOM = 1.1; // maximum rate over the offered rate
+  private static final double MIN_RATE_PART = 0.02; // minimum rate over the maximum rate
+  // Longest time between admissions. With long objectives, the allowed rate alone may admit nothing
+  // for longer, and an instance that rejects everything would not notice that endpoints recovered.
   private static final long MAX_PAUSE_NANOS = 2 * DecisionContext.SECOND_NANOS;
-  private static final double OVER_QUOTA_LINE = 0.3; // of these latencies, for what earns nothing
-  private static final double USUAL_WINDOWS = 2; // over which load is a mean: a crowd forms faster
+  private static final double OVER_QUOTA_LINE = 0.3; // of both latencies, at weight 0
+  private static final double USUAL_WINDOWS = 2; // covered by the mean: surges are faster
 
   private final DecisionContext context;
   private final EndpointRegistry registry;
   private final SlidingWindow fleet;
-  private double usualLoad; // in flight at one ready endpoint while the fleet is healthy
-  private double usualLoadNanos; // time that this mean covers
+  private double usualLoad; // mean load of a ready endpoint while the fleet is healthy
+  private double usualLoadNanos; // time that the mean covers so far
   private long admittedAt;
 
   AdaptiveRateLimiter(DecisionContext context, EndpointRegistry registry) {
@@ -31,27 +32,34 @@
     fleet = new SlidingWindow(context.windowNanos, 0);
   }
 
-  /** On a straight line from maxRate at minValue and below to minRate at maxValue and above. */
+  /**
+   * Returns the allowed rate: {@code maxRate} for a mean latency of {@code minMean} or less, {@code
+   * minRate} for {@code maxMean} or more, and linear in between.
+   */
   static double allowedRate(
       double mean, double minValue, double maxValue, double maxRate, double minRate) {
     double part = Math.min(1, Math.max(0, (mean - minValue) / (maxValue - minValue)));
     return maxRate + part * (minRate - maxRate);
   }
 
-  /** Counts a request as offered and says whether it is admitted, with so many queued. */
+  /**
+   * Counts a request as offered and returns whether it is admitted.
+   *
+   * @param queued the number of queued requests
+   */
   boolean admit(InFlightRequest request, int queued) {
     SlidingWindow route = request.routeWindow;
     request.keyWindow.add(context.now, Metric.OFFERED, 1);
     route.add(context.now, Metric.OFFERED, 1);
     fleet.add(context.now, Metric.OFFERED, 1);
-    // What earns less is rejected sooner: a tenant over its quota throttles itself first.
+    // Requests of less weight are rejected sooner, so a tenant over its quota is throttled first.
     double weight = context.settings.overQuotaWeight();
     double line = request.overQuota ? OVER_QUOTA_LINE + (1 - OVER_QUOTA_LINE) * weight : 1;
     double mean = worseMean(request);
     double maxRate = route.total(context.now, Metric.OFFERED) * HEADROOM;
     double allowed =
         allowedRate(mean, MIN_VALUE * line, MAX_VALUE * line, maxRate, maxRate * MIN_RATE_PART);
-    // With no more in flight than in health, an overload is not of this instance's making.
+    // With less load than while the fleet is healthy, this instance does not cause the overload.
     boolean idle = registry.readyLoad + queued < usualLoad * registry.ready.length;
     boolean isProtected = idle && request.hasQuota && !request.overQuota;
     boolean isPaused = context.now - admittedAt >= MAX_PAUSE_NANOS;
@@ -68,7 +76,10 @@
     fleet.addSample(context.now, latency);
   }
 
-  /** Mean latency of the route, or of the fleet where that is worse: it is no one route's doing. */
+  /**
+   * Returns the mean latency of a request's route, or that of the fleet if it is higher: a slow
+   * fleet is not caused by one route.
+   */
   double worseMean(InFlightRequest request) {
     return Math.max(request.routeWindow.mean(context.now), fleetMean());
   }
@@ -77,7 +88,7 @@
     return fleet.mean(context.now);
   }
 
-  /** The part of all requests offered that have this one's affinity key. */
+  /** Returns the fraction of all offered requests that have this one's route and affinity key. */
   double keyShare(InFlightRequest request) {
     double offered = request.keyWindow.total(context.now, Metric.OFFERED);
     return offered / Math.max(1, fleet.total(context.now, Metric.OFFERED));
@@ -85,7 +96,7 @@
 
   void onSweep() {
     if (fleetMean() <= MIN_VALUE) {
-      // A plain mean at first: one that began at 0 would be too low for seconds after a start.
+      // A plain mean at first: a moving one that began at 0 would be too low for seconds.
       double most = USUAL_WINDOWS * context.windowNanos;
       usualLoadNanos = Math.min(usualLoadNanos + context.sweepNanos, most);
       double load = registry.readyLoad / Math.max(1, registry.ready.length);
--- a/src/main/java/loadbalancer/decision/Attempt.java
+++ b/src/main/java/loadbalancer/decision/Attempt.java
@@ -6,9 +6,9 @@
   final TrackedEndpoint endpoint;
   final long startedAt;
   boolean inFlight = true;
-  boolean mayHaveRun = true; // or may be running
-  boolean sent = true; // or may be sent yet
-  boolean late; // exceeded the latency objective, at the last sweep
+  boolean mayHaveRun = true; // or may still run
+  boolean sent = true; // or may still be sent
+  boolean late; // was past the latency objective at a sweep
 
   Attempt(TrackedEndpoint endpoint, long startedAt) {
     this.endpoint = endpoint;
--- a/src/main/java/loadbalancer/decision/BoundedLoadBalancer.java
+++ b/src/main/java/loadbalancer/decision/BoundedLoadBalancer.java
@@ -3,30 +3,33 @@
 import loadbalancer.decision.SlidingWindow.Metric;
 
 /**
- * Picks endpoints by consistent hashing with bounded loads: the first from the key's place on the
- * ring that may get the request and is under its bound, own zone first.
+ * Picks endpoints by consistent hashing with bounded loads: the first endpoint from the key's
+ * position on the ring that may get the request and is below its load bound. Endpoints of the
+ * instance's own zone are preferred.
  */
 final class BoundedLoadBalancer {
 
-  private static final double SLACK = 0.5; // by which a bound exceeds the mean load
-  private static final int KEY_SPREAD = 2; // endpoints a key tries, and times its share of all
-  private static final double SLOWNESS_POWER = 3; // by which the keys of an endpoint become fewer
-  private static final double LEAVE_ZONE_SLOWNESS = 3; // of its best: the zone is overloaded
+  private static final double SLACK = 0.5; // fraction by which a bound exceeds the mean load
+  private static final int KEY_SPREAD = 2; // endpoints a key tries, plus this multiple of its share
+  private static final double SLOWNESS_POWER = 3; // an endpoint keeps 1 / slowness^3 of its keys
+  private static final double LEAVE_ZONE_SLOWNESS = 3; // of its fastest: overloaded zone
 
-  // At 1, one instance of many, with under 1 in flight at each endpoint, would queue half of all.
+  // With a bound of 1, one of many instances, which has less than one request in flight at each
+  // endpoint, would queue half of its requests.
   private static final double MIN_BOUND = 2;
   private static final double MIN_WARMING_BOUND = 1;
 
-  // Mean latency at full capacity: by less, an endpoint without a queue would be full.
+  // Mean latency, in latency objectives, that defines the capacity. With a lower one, an endpoint
+  // without a queue would count as full.
   private static final double CAPACITY_LATENCY = AdaptiveRateLimiter.MIN_VALUE;
-  private static final int MIN_CAPACITY = 2; // by less, no endpoint could show that it is idle
-  private static final int MIN_CAPACITY_SAMPLES = 10; // responses that show a capacity
+  private static final int MIN_CAPACITY = 2; // with less, an idle endpoint could not show it
+  private static final int MIN_CAPACITY_SAMPLES = 10; // responses needed to know a capacity
 
   private final DecisionContext context;
   private final EndpointRegistry registry;
   private final AdaptiveRateLimiter limiter;
   private final IdempotencePolicy idempotence;
-  private long search; // number of the present search
+  private long search; // number of the present pick
 
   BoundedLoadBalancer(
       DecisionContext context, EndpointRegistry registry, AdaptiveRateLimiter limiter) {
@@ -36,7 +39,7 @@
     idempotence = new IdempotencePolicy(context);
   }
 
-  /** The endpoint of a request's next attempt, or null where none may get it now. */
+  /** Returns the endpoint for a request's next attempt, or null if none may get it now. */
   TrackedEndpoint pick(InFlightRequest request) {
     String key = request.arrival.affinityKey();
     long hash =
@@ -90,15 +93,16 @@
     return registry.outliers.slowness(endpoint);
   }
 
-  // With under 1 in flight at each, no bound shows which endpoint is crowded: so a slow one retains
-  // a part of its keys. A warming one is slow by its fraction, for which it has its budget.
+  // Returns whether an endpoint keeps a key. A slow endpoint keeps only some of its keys, because
+  // with less than one request in flight at each, no load bound shows that it is overloaded. The
+  // slowness that warming up explains does not count, because the slow-start budget covers it.
   private boolean retainsKey(TrackedEndpoint endpoint, long hash) {
     double slow = slowness(endpoint) * registry.slowStart.warmingFraction(endpoint);
     return HashRing.fraction(hash, endpoint.id) * Math.pow(slow, SLOWNESS_POWER) < 1;
   }
 
-  // The load below which an endpoint may get a request. A warming one gets its fraction: as much as
-  // others get would keep it busy for seconds, and nothing shows its capacity yet.
+  // Returns the load below which an endpoint may get a request. It is scaled down for a warming
+  // endpoint, which the load of a warm one would keep busy for seconds, as its capacity is unknown.
   private double bound(TrackedEndpoint endpoint) {
     double warming = registry.slowStart.warmingFraction(endpoint);
     double least = warming < 1 ? MIN_WARMING_BOUND : MIN_BOUND;
@@ -106,8 +110,9 @@
     return Math.max(least, Math.min(Math.ceil(most), capacity(endpoint)));
   }
 
-  // Little's law: responses a second times the latency wanted. It keeps out bursts that would queue
-  // before the limiter's means show it. Unbounded while unknown, or a restart would get nothing.
+  // Estimates an endpoint's capacity by Little's law: responses a second times the wanted latency.
+  // This limits bursts, which would queue before the limiter's mean latencies show them. Without
+  // enough responses it is unbounded, or an endpoint would get nothing after a restart.
   private double capacity(TrackedEndpoint endpoint) {
     SlidingWindow responses = endpoint.responses;
     long age = context.now - endpoint.firstSuccessAt;
--- a/src/main/java/loadbalancer/decision/DecayingRate.java
+++ b/src/main/java/loadbalancer/decision/DecayingRate.java
@@ -1,6 +1,6 @@
 package loadbalancer.decision;
 
-/** A mean rate that decays exponentially, and is a plain mean at first. */
+/** An exponentially decaying mean rate, corrected for the short time that it covers at first. */
 final class DecayingRate {
 
   private static final double DECAY_NANOS = 30e9; // longer than most outages
@@ -14,7 +14,10 @@
     lastAt = now;
   }
 
-  /** Events a second, over no less than {@code minAgeNanos}: a mean over less would be chance. */
+  /**
+   * Returns the mean rate per second. The mean covers at least {@code minAgeNanos}, because a
+   * shorter one would mostly reflect random variation.
+   */
   double perSecond(long now, double minAgeNanos) {
     double age = Math.max(minAgeNanos, (double) (now - firstAt));
     return sum(now) * 1e9 / (DECAY_NANOS * (1 - Math.exp(-age / DECAY_NANOS)));
--- a/src/main/java/loadbalancer/decision/DecisionContext.java
+++ b/src/main/java/loadbalancer/decision/DecisionContext.java
@@ -6,21 +6,21 @@
 import loadbalancer.decision.api.RequestClass;
 import loadbalancer.decision.api.Settings;
 
-/** What the parts of one engine share: settings, random source, and the event being handled. */
+/** The state shared by the components of an engine: settings, random source, current event. */
 final class DecisionContext {
 
   static final long SECOND_NANOS = 1_000_000_000L;
 
-  private static final double WINDOW_OBJECTIVES = 2; // the longest: enough samples for a mean
-  private static final int SWEEPS_PER_OBJECTIVE = 8; // the shortest: what is late is seen soon
+  private static final double WINDOW_OBJECTIVES = 2; // the longest ones: enough samples for a mean
+  private static final int SWEEPS_PER_OBJECTIVE = 8; // the shortest one: late attempts show soon
 
   final Settings settings;
-  final SplittableRandom random; // the order of draws is part of the engine's behaviour
+  final SplittableRandom random; // the order of draws affects the decisions
   final long windowNanos;
   final long sweepNanos;
   final long shortestObjectiveNanos;
   long now; // clock reading of the event being handled
-  Consumer<Action> actions; // receives what follows from it, in order
+  Consumer<Action> actions; // receives the actions that result from it, in order
 
   DecisionContext(Settings settings, long seed) {
     this.settings = settings;
--- a/src/main/java/loadbalancer/decision/DiscoveryPoller.java
+++ b/src/main/java/loadbalancer/decision/DiscoveryPoller.java
@@ -3,13 +3,13 @@
 import loadbalancer.decision.api.Action;
 import loadbalancer.decision.api.UpdateKind;
 
-/** Subscribes to the endpoint list, and again after failures. Owns the backoff between them. */
+/** Subscribes to the endpoint list and, with a backoff, again after failures. Owns the backoff. */
 public final class DiscoveryPoller {
 
-  static final String TIMER = "ask"; // token of the timer of the next poll
+  static final String TIMER = "ask"; // token of the timer of the next subscription
 
-  // The longest backoff, 1 s, and the time that a poll takes have to fit into the 6 s after which
-  // the platform takes an instance to know of a change.
+  // The longest backoff, 1 s, and the duration of a poll must fit into the 6 s after which the
+  // platform expects an instance to know of a change.
   private static final long BACKOFF_NANOS = DecisionContext.SECOND_NANOS / 4;
   private static final int MAX_DOUBLINGS = 2;
 
@@ -21,14 +21,18 @@
     this.context = context;
   }
 
-  /** The longest wait, in nanoseconds, after a failure that follows so many in a row. */
+  /**
+   * Returns the longest backoff, in nanoseconds, after a failure.
+   *
+   * @param failures the number of consecutive failures before it
+   */
   public static long maxPollBackoffNanos(int failures) {
     return BACKOFF_NANOS << Math.min(failures, MAX_DOUBLINGS);
   }
 
   void onUpdate(UpdateKind kind) {
     if (kind == UpdateKind.FAILED) {
-      // Full jitter, or all instances would come back to the discovery service at once.
+      // Full jitter, so that instances do not return to the discovery service at the same time.
       long backoff = maxPollBackoffNanos(consecutiveFailures++);
       nextPollAt = context.now + (long) (backoff * context.random.nextDouble());
       context.actions.accept(new Action.SetTimer(TIMER, nextPollAt));
@@ -39,7 +43,7 @@
     }
   }
 
-  /** Polls, unless a later failure has put that off. */
+  /** Subscribes again, unless a later failure has postponed that. */
   void onTimer() {
     if (context.now >= nextPollAt) {
       nextPollAt = Long.MAX_VALUE;
--- a/src/main/java/loadbalancer/decision/EndpointRegistry.java
+++ b/src/main/java/loadbalancer/decision/EndpointRegistry.java
@@ -14,23 +14,23 @@
 import loadbalancer.decision.api.Event;
 import loadbalancer.decision.api.UpdateKind;
 
-/** Follows the endpoint list. Owns the endpoints, their loads, and the ring of the ready ones. */
+/** Tracks the endpoint list. Owns the endpoints, their loads, and the ring of the ready ones. */
 final class EndpointRegistry {
 
-  private static final int POINTS = 100; // by median weight: keys spread within some 10%
-  private static final double MAX_WEIGHT = 4; // median weights; the least is the inverse
+  private static final int POINTS = 100; // at median weight: keys vary by some 10%
+  private static final double MAX_WEIGHT = 4; // median weights; the minimum is the inverse
 
-  // Read by other parts, written here alone.
-  TrackedEndpoint[] ready = {}; // by id: the members of the ring
+  // Read by other components, written only here.
+  TrackedEndpoint[] ready = {}; // the members of the ring, sorted by id
   final HashRing ring = new HashRing();
-  double readyLoad; // in flight at the ready endpoints, in mean requests
+  double readyLoad; // of attempts in flight at ready endpoints, in mean requests
   final OutlierDetector outliers;
   final SlowStart slowStart;
 
   private final DecisionContext context;
   private final Map<Long, TrackedEndpoint> endpoints = new LinkedHashMap<>();
-  private final Set<TrackedEndpoint> departing = new LinkedHashSet<>(); // gone with some in flight
-  private final List<TrackedEndpoint> bySlot = new ArrayList<>(); // null at slots that are free
+  private final Set<TrackedEndpoint> departing = new LinkedHashSet<>(); // gone, not idle yet
+  private final List<TrackedEndpoint> bySlot = new ArrayList<>(); // null at free slots
   private double medianWeight; // 0 before the first ready endpoint
 
   EndpointRegistry(DecisionContext context) {
@@ -62,7 +62,7 @@
       outliers.onNewIncarnation(endpoint);
       slowStart.onNewIncarnation(endpoint);
     } else if (entry.startedNanos() > 0) {
-      // The same one, of which it has become known that it is older.
+      // The same incarnation, which turned out to be older.
       endpoint.startedAt = entry.startedNanos();
     }
     endpoint.listing = entry;
@@ -72,7 +72,10 @@
     return endpoint;
   }
 
-  /** Whether an endpoint need not be kept as departing any more: it is back, or it is forgotten. */
+  /**
+   * Returns whether an endpoint ceases to be departing: it is listed again, or it has nothing in
+   * flight. In the latter case it is removed from the registry.
+   */
   private boolean forgetIfOver(TrackedEndpoint endpoint) {
     boolean back = endpoint.listing.state() != EndpointState.GONE;
     if (!back && endpoint.inFlight == 0) {
@@ -95,7 +98,7 @@
       }
     }
     if (joining.isEmpty() && leaving.isEmpty()) {
-      return; // As in most updates.
+      return; // Most updates do not change the ring.
     }
     TrackedEndpoint[] staying =
         Arrays.stream(ready).filter(TrackedEndpoint::isReady).toArray(TrackedEndpoint[]::new);
@@ -111,7 +114,7 @@
 
   private void setMedianWeight() {
     if (medianWeight == 0 && ready.length > 0) {
-      // Never changed again, so that an update moves the keys of the endpoints it changes alone.
+      // Set only once, so that an update moves only the keys of the endpoints that it changes.
       double[] weights = Arrays.stream(ready).mapToDouble(e -> e.listing.weight()).toArray();
       Arrays.sort(weights);
       medianWeight = weights[ready.length / 2];
@@ -148,7 +151,7 @@
     return bySlot.size() - 1;
   }
 
-  /** The member of the ring that has a slot. */
+  /** Returns the member of the ring that has a slot. */
   TrackedEndpoint member(int slot) {
     return bySlot.get(slot);
   }
@@ -169,7 +172,7 @@
 
   void onAttemptEnded(TrackedEndpoint endpoint, double load) {
     endpoint.inFlight--;
-    // Exactly 0 with nothing in flight, or rounding errors would add up.
+    // Reset to 0 when nothing is in flight, so that rounding errors do not accumulate.
     endpoint.load = endpoint.inFlight == 0 ? 0 : endpoint.load - load;
     endpoint.lastHeardAt = context.now;
     readyLoad -= endpoint.isReady() ? load : 0;
--- a/src/main/java/loadbalancer/decision/HashRing.java
+++ b/src/main/java/loadbalancer/decision/HashRing.java
@@ -4,29 +4,29 @@
 import java.util.List;
 
 /**
- * A consistent-hash ring: points in order, each of one member. Members are known by their slots,
- * which they keep while they are on the ring. The points are kept in buckets by their highest bits,
- * so that a change costs the buckets that it touches, and not the whole ring.
+ * A consistent-hash ring: sorted points, each of which belongs to one member. Members are
+ * identified by their slots, which they keep while they are on the ring. The points are stored in
+ * buckets by their highest bits, so that a change rebuilds only the buckets that it touches.
  */
 final class HashRing {
 
-  private static final long SLOT_BITS = 0xffff; // low bits of a point, which name its member's slot
-  private static final int BUCKET_POINTS = 64; // in the mean, once there are as many
+  private static final long SLOT_BITS = 0xffff; // low bits of a point, which hold its member's slot
+  private static final int BUCKET_POINTS = 64; // highest mean per bucket after a split
 
-  private long[][] buckets = {{}}; // a power of two of them, each in order
-  private int bucketBits; // of a point, the highest, by which its bucket is found
+  private long[][] buckets = {{}}; // a power of two of them, each sorted
+  private int bucketBits; // number of a point's high bits that select its bucket
   private int pointCount;
 
   /**
    * A member of the ring.
    *
-   * @param slot no other member has it at the same time
-   * @param id its id on any ring, by which its points are placed
-   * @param points how many it has
+   * @param slot the member's slot, unique among the members
+   * @param id determines the positions of its points, on every ring alike
+   * @param points the number of its points
    */
   record Member(int slot, long id, int points) {}
 
-  /** Takes members off the ring, as they were put on it, and puts others on. */
+  /** Removes members, given as they were added, and adds others. */
   void change(List<Member> leaving, List<Member> joining) {
     long[] removed = points(leaving);
     long[] added = points(joining);
@@ -62,7 +62,7 @@
     return points;
   }
 
-  /** More buckets for the points that there will be. */
+  /** Increases the number of buckets to suit {@code pointCount} and redistributes the points. */
   private void split() {
     long[] all = Arrays.stream(buckets).flatMapToLong(Arrays::stream).toArray();
     while (pointCount > BUCKET_POINTS << bucketBits) {
@@ -78,7 +78,7 @@
   }
 
   private int bucketOf(long point) {
-    // Points are in the order of signed numbers: the first bucket has the lowest.
+    // Points are sorted as signed numbers, so the first bucket holds the lowest ones.
     return bucketBits == 0 ? 0 : (int) ((point ^ Long.MIN_VALUE) >>> (Long.SIZE - bucketBits));
   }
 
@@ -94,7 +94,7 @@
     return to;
   }
 
-  /** A bucket without some of its points, and with others; all are in order. */
+  /** Returns a bucket's points without the removed and with the added ones; all are sorted. */
   private static long[] merge(long[] bucket, long[] removed, long[] added) {
     long[] merged = new long[bucket.length - removed.length + added.length];
     int length = 0;
@@ -116,7 +116,7 @@
     return merged;
   }
 
-  /** A walk along a ring with points, round and round. */
+  /** An endless walk around the ring, which must have points. */
   final class Walk {
 
     private int bucket;
@@ -128,7 +128,7 @@
       next = at < 0 ? -at - 1 : at;
     }
 
-    /** The slot of the member at the next point. */
+    /** Returns the slot of the member at the next point. */
     int nextSlot() {
       while (next >= buckets[bucket].length) {
         bucket = (bucket + 1) % buckets.length;
@@ -138,19 +138,19 @@
     }
   }
 
-  /** A walk that begins at the place of a hash; the ring must not change on the way. */
+  /** Returns a walk that starts at the position of a hash; the ring must not change meanwhile. */
   Walk walk(long hash) {
     return new Walk(hash);
   }
 
-  /** Spreads a number's bits evenly. */
+  /** Mixes the bits of a number, as SplitMix64 does. */
   static long mix(long number) {
     long mixed = (number ^ (number >>> 30)) * 0xbf58476d1ce4e5b9L;
     mixed = (mixed ^ (mixed >>> 27)) * 0x94d049bb133111ebL;
     return mixed ^ (mixed >>> 31);
   }
 
-  /** A number from 0 to under 1 that depends on two others alone. */
+  /** Returns a pseudo-random number from 0 to below 1 that depends only on two other numbers. */
   static double fraction(long one, long other) {
     return (mix(one ^ other) >>> 11) * 0x1p-53;
   }
--- a/src/main/java/loadbalancer/decision/HedgePolicy.java
+++ b/src/main/java/loadbalancer/decision/HedgePolicy.java
@@ -1,9 +1,12 @@
 package loadbalancer.decision;
 
-/** Says when a request is to have a second attempt beside one at a silent endpoint. */
+/** Decides when a request gets a second attempt while its first is at a silent endpoint. */
 record HedgePolicy(DecisionContext context, AdaptiveRateLimiter limiter, OutlierDetector outliers) {
 
-  /** Whether the deployment, the health of the fleet and the time left call for a hedge. */
+  /**
+   * Returns whether to hedge a request: the deployment permits it, the endpoint of its last attempt
+   * is silent, the fleet is healthy, and the latency objective has not passed.
+   */
   boolean allows(InFlightRequest request) {
     Attempt last = request.attempts.get(request.attempts.size() - 1);
     return context.settings.limits().hedging()
--- a/src/main/java/loadbalancer/decision/IdempotencePolicy.java
+++ b/src/main/java/loadbalancer/decision/IdempotencePolicy.java
@@ -5,10 +5,14 @@
 import loadbalancer.decision.api.Idempotence;
 import loadbalancer.decision.api.RequestClass;
 
-/** Says where a request may go, and how it may end, without the risk that it takes effect twice. */
+/** Decides where a request may be sent, and how it may end, so that it never takes effect twice. */
 record IdempotencePolicy(DecisionContext context) {
 
-  /** Whether a request may be attempted at an endpoint, one of so many that are ready. */
+  /**
+   * Returns whether a request may be attempted at an endpoint.
+   *
+   * @param readyCount the number of ready endpoints
+   */
   boolean mayAttempt(InFlightRequest request, TrackedEndpoint endpoint, int readyCount) {
     boolean othersLeft = readyCount > request.attempts.size();
     for (Attempt earlier : request.attempts) {
@@ -30,17 +34,17 @@
         scope == DedupScope.ALL
             || (scope == DedupScope.ZONE && first.zone().equals(endpoint.zone()))
             || (scope == DedupScope.CELL && first.cell() == endpoint.cell());
-    // A tick less than the window: the attempt may be sent a tick after its decision.
+    // One tick shorter, because an attempt may be sent up to a tick after it is decided on.
     long window = type.dedupWindowNanos() - context.settings.tickNanos();
     return recognised && context.now - earlier.startedAt < window;
   }
 
-  /** Whether no endpoint may get the request any more. */
+  /** Returns whether a request may have run and, not being idempotent, must not run again. */
   static boolean isSpent(InFlightRequest request) {
     return request.type.idempotence() == Idempotence.NON_IDEMPOTENT && request.mayHaveRun();
   }
 
-  /** Whether the client does no harm if it repeats the request, as a rejection lets it. */
+  /** Returns whether the client may safely repeat a request, as it may after a rejection. */
   static boolean mayReject(InFlightRequest request) {
     Idempotence idempotence = request.type.idempotence();
     boolean keyedForAll =
--- a/src/main/java/loadbalancer/decision/InFlightRequest.java
+++ b/src/main/java/loadbalancer/decision/InFlightRequest.java
@@ -5,7 +5,7 @@
 import loadbalancer.decision.api.Event;
 import loadbalancer.decision.api.RequestClass;
 
-/** A request, until it has its final answer and each of its attempts has ended. */
+/** A request that has no final answer yet, or that still has attempts in flight. */
 final class InFlightRequest {
 
   final Event.RequestArrived arrival;
@@ -15,10 +15,10 @@
   // Set once, by RequestClassifier.
   boolean hasQuota;
   boolean overQuota;
-  double priority; // what a response in time earns
-  SlidingWindow routeWindow; // of class and tenant, within or over quota
-  SlidingWindow keyWindow; // of the affinity key within that
-  double load; // what it counts for, in mean requests
+  double priority; // the value of a response in time
+  SlidingWindow routeWindow; // of its class and tenant, within or over quota
+  SlidingWindow keyWindow; // of its affinity key within its route
+  double load; // in mean requests
 
   // Written by RequestLifecycle.
   final List<Attempt> attempts = new ArrayList<>(1);
@@ -40,7 +40,7 @@
     return attempt < attempts.size() && attempts.get(attempt).inFlight;
   }
 
-  /** Whether an attempt has loaded an endpoint, or may do so yet: a further one is a retry. */
+  /** Returns whether an attempt was or may still be sent: another one uses the retry budget. */
   boolean hasSentAttempt() {
     for (Attempt attempt : attempts) {
       if (attempt.sent) {
--- a/src/main/java/loadbalancer/decision/KeyedWindows.java
+++ b/src/main/java/loadbalancer/decision/KeyedWindows.java
@@ -4,11 +4,11 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** The windows of tenants, routes and affinity keys: bounded in number, evicted when idle. */
+/** The windows of tenants, routes and affinity keys. Bounds their number and evicts idle ones. */
 final class KeyedWindows {
 
-  private static final int MAX_KEYS = 8_000; // bounds the memory; the one idle longest goes
-  private static final int CHECKED_PER_LOOKUP = 2; // which adds one at most, so none pile up
+  private static final int MAX_KEYS = 8_000; // bounds the memory; the least recently used one goes
+  private static final int CHECKED_PER_LOOKUP = 2; // a lookup adds at most one window
 
   private final DecisionContext context;
   private final Map<String, SlidingWindow> windows = new LinkedHashMap<>(64, 0.75f, true);
@@ -22,7 +22,7 @@
         windows.computeIfAbsent(key, k -> new SlidingWindow(context.windowNanos, context.now));
     Iterator<SlidingWindow> eldest = windows.values().iterator();
     for (int i = 0; i < CHECKED_PER_LOOKUP && windows.size() > 1; i++) {
-      // An idle window says what a new one says, so no decision depends on its eviction.
+      // An idle window has the same totals as a new one, so its eviction changes no decision.
       if (!eldest.next().isIdle(context.now) && windows.size() <= MAX_KEYS) {
         break;
       }
--- a/src/main/java/loadbalancer/decision/LoadBalancingEngine.java
+++ b/src/main/java/loadbalancer/decision/LoadBalancingEngine.java
@@ -7,7 +7,7 @@
 import loadbalancer.decision.api.Settings;
 import loadbalancer.decision.api.UpdateKind;
 
-/** Hands each event to the part of the engine whose job it is. */
+/** Dispatches each event to the component of the engine that handles it. */
 public final class LoadBalancingEngine implements DecisionEngine {
 
   final RequestLifecycle lifecycle;
@@ -15,7 +15,7 @@
   private final EndpointRegistry registry;
   private final DiscoveryPoller poller;
 
-  /** Makes the engine of one load balancer instance; the seed is its only source of randomness. */
+  /** Creates the engine of an load balancer instance; the seed is its only source of randomness. */
   public LoadBalancingEngine(Settings settings, long seed) {
     context = new DecisionContext(settings, seed);
     registry = new EndpointRegistry(context);
--- a/src/main/java/loadbalancer/decision/OutcomeRecorder.java
+++ b/src/main/java/loadbalancer/decision/OutcomeRecorder.java
@@ -4,11 +4,11 @@
 import loadbalancer.decision.api.AttemptStatus;
 import loadbalancer.decision.api.Event;
 
-/** Says what the end of an attempt means for its endpoint's statistics and for the fleet's. */
+/** Records the outcomes of attempts in the statistics of their endpoints and of the fleet. */
 record OutcomeRecorder(
     DecisionContext context, AdaptiveRateLimiter limiter, OutlierDetector outliers) {
 
-  private static final double SLOWEST = Double.MAX_VALUE; // latency of what has not ended in time
+  private static final double SLOWEST = Double.MAX_VALUE; // for attempts rejected or late
 
   void record(InFlightRequest request, Attempt attempt, Event.AttemptEnded end) {
     AttemptStatus status = end.status();
@@ -36,10 +36,11 @@
     long objective = request.type.latencyObjectiveNanos();
     double limit = (double) request.type.deadlineNanos() / objective;
     double latency = (double) (context.now - request.arrivedAt) / objective;
-    // A client that waits for less than the objective ends its attempts itself: no fault of theirs.
+    // A time-out before the objective is due to the client's short deadline, not to the endpoint.
     boolean impatient = timeout && context.now - attempt.startedAt < objective;
-    // A time-out counts as its limit, another failure as no less than the mean, which quick ones
-    // would pull down. By the limit, a few resets would have work rejected that others could do.
+    // A time-out counts as the class's deadline. Other failures count as at least the mean latency,
+    // or quick ones would lower it; if they counted as the deadline, a few resets would cause the
+    // rejection of requests that other endpoints could serve.
     boolean byLimit = timeout && !impatient;
     limiter.addSample(request, byLimit ? limit : Math.max(latency, limiter.worseMean(request)));
     if (!impatient) {
@@ -48,7 +49,7 @@
     }
   }
 
-  /** Marks attempts in flight that exceed the objective: a time-out may come seconds after it. */
+  /** Records attempts in flight past the objective as slow: their time-out may be seconds away. */
   void recordLate(InFlightRequest request) {
     for (Attempt attempt : request.attempts) {
       long age = context.now - attempt.startedAt;
--- a/src/main/java/loadbalancer/decision/OutlierDetector.java
+++ b/src/main/java/loadbalancer/decision/OutlierDetector.java
@@ -3,50 +3,60 @@
 import loadbalancer.decision.SlidingWindow.Metric;
 import loadbalancer.decision.api.Idempotence;
 
-/** Finds endpoints that are ejected, silent, unreliable or slow. Owns these states and panic. */
+/** Detects ejected, silent, unreliable and slow endpoints. Owns their state and the panic mode. */
 final class OutlierDetector {
 
   private static final int FAILURES_TO_EJECT = 3; // in a row
   private static final long EJECTION_NANOS = DecisionContext.SECOND_NANOS / 2; // the first one
-  private static final int MAX_DOUBLINGS = 4; // of ejections in a row: up to 8 s
-  private static final double PANIC_PART = 0.5; // of the ready: with more outliers none counts
+  private static final int MAX_DOUBLINGS = 4; // for ejections in a row: up to 8 s
 
-  // Times the usual gap between responses after which an endpoint is silent, and part of the
-  // shortest latency objective at least: heavy requests cause shorter gaps.
+  // Fraction of the ready endpoints. With more outliers, none is avoided.
+  private static final double PANIC_PART = 0.5;
+
+  // An endpoint is silent after this multiple of its mean gap between responses, but not before
+  // this fraction of the shortest latency objective: heavy requests cause gaps up to that length.
   private static final double SILENT_GAPS = 8;
   private static final double SILENT_OBJECTIVE_PART = 0.3;
-  private static final int MIN_GAP_SAMPLES = 4; // responses without which no gap is usual
+  private static final int MIN_GAP_SAMPLES = 4; // responses needed to know the mean gap
 
-  private static final double FAILURE_RATE_STEP = 0.3; // part that one outcome replaces
-  private static final double FAILURE_RATE_DECAY_NANOS = 10e9; // without outcomes, towards 0
-  private static final double MAX_FAILURE_RATE = 0.1; // for what can't be sent again
+  private static final double FAILURE_RATE_STEP = 0.3; // weight of one outcome
+  private static final double FAILURE_RATE_DECAY_NANOS = 10e9; // towards 0, without outcomes
+  private static final double MAX_FAILURE_RATE = 0.1; // for requests that cannot be sent again
 
-  // Slowness is latency over the fleet's mean: 1 for as fast, or for unknown.
-  private static final double SLOWNESS_MEAN_NANOS = 2e9; // over which it is a mean
-  private static final double SLOWNESS_DECAY_NANOS = 10e9; // without samples, towards 1
-  private static final double MAX_SLOWNESS_STEP = 0.3; // part that one sample replaces
-  private static final double MAX_SLOWNESS = 4; // of a sample: no time-out outweighs all others
+  // Slowness is an endpoint's latency over the fleet's mean latency; 1 if it is unknown.
+  private static final double SLOWNESS_MEAN_NANOS = 2e9; // time that the mean covers
+  private static final double SLOWNESS_DECAY_NANOS = 10e9; // towards 1, without samples
+  private static final double MAX_SLOWNESS_STEP = 0.3; // weight of one sample at most
+  private static final double MAX_SLOWNESS = 4; // of a sample: limits the effect of a time-out
 
   private final DecisionContext context;
-  private boolean panic; // too many are ejected or silent
-  private boolean failureRatesCount; // not too many have a high one
+  private boolean panic; // too many ready endpoints are ejected or silent
+  private boolean failureRatesCount; // few enough ready endpoints have a high one
 
   OutlierDetector(DecisionContext context) {
     this.context = context;
   }
 
+  /** Returns whether an endpoint is neither ejected nor silent, or too many are. */
   boolean isAvailable(TrackedEndpoint endpoint) {
     return panic || (endpoint.ejectedUntil <= context.now && !isSilent(endpoint));
   }
 
-  // One instance of many sends too few to wait for failures in a row. Others find out at less cost.
+  /**
+   * Returns whether an endpoint fails seldom enough for a request. The failure rate matters only to
+   * non-idempotent requests: one of many instances sends an endpoint too few attempts to wait for
+   * failures in a row, and the failures of other requests, which cost less, reveal the endpoint.
+   */
   boolean isReliableFor(InFlightRequest request, TrackedEndpoint endpoint) {
     return request.type.idempotence() != Idempotence.NON_IDEMPOTENT
         || !failureRatesCount
         || failureRate(endpoint) < MAX_FAILURE_RATE;
   }
 
-  /** Whether nothing came for so long that the endpoint is frozen or dead, before a time-out. */
+  /**
+   * Returns whether an endpoint with attempts in flight has not responded for so long that it is
+   * probably frozen or dead. This shows before an attempt times out.
+   */
   boolean isSilent(TrackedEndpoint endpoint) {
     SlidingWindow responses = endpoint.responses;
     if (endpoint.inFlight <= 0 || responses.total(context.now, Metric.SAMPLES) < MIN_GAP_SAMPLES) {
@@ -68,7 +78,7 @@
     endpoint.consecutiveFailures++;
     if (endpoint.consecutiveFailures >= FAILURES_TO_EJECT && endpoint.ejectedUntil <= context.now) {
       int doublings = Math.min(endpoint.consecutiveEjections++, MAX_DOUBLINGS);
-      // Jitter, or all instances would try the endpoint again at once.
+      // Jitter, so that the instances do not all try the endpoint again at the same time.
       double part = 0.5 + context.random.nextDouble() / 2;
       endpoint.ejectedUntil = context.now + (long) ((EJECTION_NANOS << doublings) * part);
     }
@@ -93,7 +103,7 @@
 
   private double failureRate(TrackedEndpoint endpoint) {
     if (endpoint.failureRate == 0) {
-      return 0; // Of most, and asked at each sweep.
+      return 0; // Saves the exponential for most endpoints at each sweep.
     }
     double age = endpoint.failureRateAt - context.now;
     return endpoint.failureRate * Math.exp(age / FAILURE_RATE_DECAY_NANOS);
@@ -110,7 +120,7 @@
     return 1 + (endpoint.slowness - 1) * decay;
   }
 
-  /** Adds a latency; it and the fleet's mean are in parts of the latency objective. */
+  /** Adds a latency sample; it and the fleet's mean are in multiples of the latency objective. */
   void addLatency(TrackedEndpoint endpoint, double latency, double mean) {
     double sample = Math.min(MAX_SLOWNESS, mean > 0 ? latency / mean : Math.max(1, latency));
     double age = context.now - endpoint.slownessAt;
--- a/src/main/java/loadbalancer/decision/RequestClassifier.java
+++ b/src/main/java/loadbalancer/decision/RequestClassifier.java
@@ -5,18 +5,18 @@
 import loadbalancer.decision.api.Event;
 import loadbalancer.decision.api.RequestClass;
 
-/** Says what a request counts as. Owns the windows by key, the quotas and the mean work hint. */
+/** Classifies arriving requests. Owns the keyed windows, the quotas and the mean work hint. */
 final class RequestClassifier {
 
-  private static final double MEAN_STEP = 0.005; // of the mean hint: over some 200 requests
-  private static final double MAX_HINT = 20; // means: an absurd hint would make all others light
-  private static final double MAX_LOAD = 4; // mean requests; the least is the inverse
+  private static final double MEAN_STEP = 0.005; // weight of one hint: some 200 count
+  private static final double MAX_HINT = 20; // a huge hint must not make others light
+  private static final double MAX_LOAD = 4; // mean requests; the minimum is the inverse
 
   final KeyedWindows windows;
   private final DecisionContext context;
   private final TenantQuotas quotas;
   private final Map<String, RequestClass> classes = new HashMap<>();
-  private double meanHint; // nanoseconds; 0 before the first
+  private double meanHint; // nanoseconds; 0 before the first hint
 
   RequestClassifier(DecisionContext context) {
     this.context = context;
@@ -25,7 +25,11 @@
     context.settings.classes().forEach(type -> classes.put(type.name(), type));
   }
 
-  /** Counts a request against its quota; throws IllegalArgumentException on an unknown class. */
+  /**
+   * Classifies a request and counts it against its tenant's quota.
+   *
+   * @throws IllegalArgumentException if the settings have no such class
+   */
   InFlightRequest classify(Event.RequestArrived arrival) {
     RequestClass type = classes.get(arrival.className());
     if (type == null) {
@@ -43,7 +47,8 @@
     return request;
   }
 
-  // By the hint: a few heavy requests fill an endpoint that a count calls half empty.
+  // Returns a request's load in mean requests. It depends on the work hint because a few heavy
+  // requests fill an endpoint that seems half empty by their number.
   private double load(long hint) {
     meanHint +=
         meanHint == 0
--- a/src/main/java/loadbalancer/decision/RequestLifecycle.java
+++ b/src/main/java/loadbalancer/decision/RequestLifecycle.java
@@ -10,18 +10,18 @@
 import loadbalancer.decision.api.Event;
 import loadbalancer.decision.api.Limits;
 
-/** Takes requests from arrival to their one final answer. Owns them while they are in flight. */
+/** Manages requests from arrival to their final answer. Owns them while they are in flight. */
 final class RequestLifecycle {
 
-  private static final double MAX_WAIT_PART = 0.3; // of the objective: a rejection comes early
-  private static final double RETRY_AFTER_PART = 0.1; // of the objective, which a retry is to meet
-  private static final int MAX_QUEUE_TRIES = 4; // in vain: bounds the work where all are full
-  private static final int DEADLINE_SWEEPS = 2; // before the deadline, when the client leaves
+  private static final double MAX_WAIT_PART = 0.3; // of the objective: reject early
+  private static final double RETRY_AFTER_PART = 0.1; // of the objective, for a retry to meet
+  private static final int MAX_QUEUE_TRIES = 4; // bounds the work if all endpoints are full
+  private static final int DEADLINE_SWEEPS = 2; // no attempts so close to the deadline
 
   // Requests without a final answer or with an attempt in flight, by id.
   final Map<String, InFlightRequest> inFlight = new LinkedHashMap<>();
 
-  // Those without an attempt in flight, the highest priority first, then the oldest.
+  // Requests without an attempt in flight, the highest priority first, then the oldest.
   final TreeSet<InFlightRequest> queue =
       new TreeSet<>(
           Comparator.comparingDouble((InFlightRequest request) -> -request.priority)
@@ -106,7 +106,7 @@
     }
   }
 
-  /** Sets the timer of the next sweep, where requests are in flight and none is set. */
+  /** Sets the timer of the next sweep if requests are in flight and it is not set yet. */
   void scheduleSweep() {
     if (!sweepScheduled && !inFlight.isEmpty()) {
       sweepScheduled = true;
@@ -114,7 +114,7 @@
     }
   }
 
-  /** Hedges requests at silent endpoints and tries the queue; ends what nears its deadline. */
+  /** Hedges requests at silent endpoints, and attempts, answers or keeps each queued request. */
   void onSweep() {
     sweepScheduled = false;
     registry.outliers.onSweep(registry.ready);
@@ -130,7 +130,7 @@
     List.copyOf(queue).forEach(this::advance);
   }
 
-  // Attempts, answers or queues a request with no attempt in flight; false if it is queued.
+  // Attempts, answers or queues a request without an attempt in flight; returns false if queued.
   private boolean advance(InFlightRequest request) {
     boolean over = isOver(request);
     if (!over && startAttempt(request)) {
@@ -146,7 +146,7 @@
     return true;
   }
 
-  // Whether a request gets no further attempt, wherever there is capacity.
+  // Returns whether a request gets no further attempt, even if an endpoint has capacity.
   private boolean isOver(InFlightRequest request) {
     long lastStart = request.arrival.deadlineNanos() - DEADLINE_SWEEPS * context.sweepNanos;
     return request.attempts.size() >= limits.maxAttempts()
@@ -155,6 +155,8 @@
         || context.now >= lastStart;
   }
 
+  // Returns whether a request should not stay queued: it has waited for too long for its first
+  // attempt, or no endpoint is ready for another one.
   private boolean hasWaited(InFlightRequest request) {
     double maxWait = MAX_WAIT_PART * request.type.latencyObjectiveNanos();
     return request.attempts.isEmpty()
@@ -181,12 +183,13 @@
   private Action rejection(InFlightRequest request) {
     double longest = RETRY_AFTER_PART * request.type.latencyObjectiveNanos();
     double most = limits.retryAfter() ? Math.min((double) limits.maxRetryAfterNanos(), longest) : 0;
-    // Full jitter, or clients that were rejected together would come back together.
+    // Full jitter, so that clients that were rejected together do not retry together.
     long retryAfter = (long) (most * context.random.nextDouble());
     return new Action.RejectRequest(request.id(), retryAfter);
   }
 
-  // Ends a request that has its final answer: cancels its attempts, forgets it without any.
+  // Ends a request that needs no further answer: cancels its attempts, or removes it if none is in
+  // flight.
   private void release(InFlightRequest request) {
     request.answered = true;
     queue.remove(request);
--- a/src/main/java/loadbalancer/decision/RetryBudget.java
+++ b/src/main/java/loadbalancer/decision/RetryBudget.java
@@ -1,10 +1,10 @@
 package loadbalancer.decision;
 
-/** Bounds the load that retries and hedges add. Owns the tokens that pay for them. */
+/** Limits the load that retries and hedges add. Owns the tokens that they consume. */
 final class RetryBudget {
 
-  private static final double TOKENS_PER_REQUEST = 0.2; // a fifth more load at worst
-  private static final double MAX_TOKENS = 20; // saved at most, and at the start
+  private static final double TOKENS_PER_REQUEST = 0.2; // at most 20% more load
+  private static final double MAX_TOKENS = 20; // also the initial number
 
   private double tokens = MAX_TOKENS;
 
--- a/src/main/java/loadbalancer/decision/SlidingWindow.java
+++ b/src/main/java/loadbalancer/decision/SlidingWindow.java
@@ -1,19 +1,19 @@
 package loadbalancer.decision;
 
-/** Counts and sums over the last window of time. */
-@SuppressWarnings("EnumOrdinal") // Arrays by metric: maps would cost more, in thousands of windows.
+/** Counts and sums over a sliding time window of fixed length. */
+@SuppressWarnings("EnumOrdinal") // Arrays by metric: maps for thousands of windows cost more.
 final class SlidingWindow {
 
-  /** What a window adds up. */
+  /** A quantity that a window sums up. */
   enum Metric {
     OFFERED, // requests that arrived
     ADMITTED, // requests that were admitted
-    SAMPLES, // latencies measured
-    LATENCY_SUM, // their sum
-    OBJECTIVE_SUM // the latency objectives of successful responses, in seconds, times their loads
+    SAMPLES, // number of latency samples
+    LATENCY_SUM, // sum of the latency samples
+    OBJECTIVE_SUM // latency objectives of successful responses, in seconds, times their loads
   }
 
-  private static final int SLOTS = 12; // steps in which a window forgets
+  private static final int SLOTS = 12; // parts of a window, each of which expires as a whole
 
   private final long slotNanos;
   private final double[][] slots = new double[Metric.values().length][SLOTS];
@@ -35,11 +35,12 @@
     add(now, Metric.LATENCY_SUM, latency);
   }
 
-  /** Whether all that was added is forgotten. */
+  /** Returns whether the window was not used for its whole length, so that all totals are 0. */
   boolean isIdle(long now) {
     return now / slotNanos - slot >= SLOTS;
   }
 
+  /** Expires old slots and returns the sum of a metric over the window. */
   double total(long now, Metric metric) {
     long current = now / slotNanos;
     for (long s = Math.max(slot + 1, current - SLOTS + 1); s <= current; s++) {
@@ -52,13 +53,16 @@
     return totals[metric.ordinal()];
   }
 
-  /** A count's rate a second less one standard deviation: what chance alone seldom reaches. */
+  /**
+   * Returns a low estimate of a count's rate per second: the observed rate less one standard
+   * deviation, so that random variation seldom makes it too high.
+   */
   double lowRate(long now, Metric metric) {
     double count = total(now, metric);
     return (count - Math.sqrt(count)) * 1e9 / (slotNanos * SLOTS);
   }
 
-  /** Mean of the samples; 0, which counts as healthy, where there are none. */
+  /** Returns the mean of the samples, or 0, which counts as healthy, if there are none. */
   double mean(long now) {
     double samples = total(now, Metric.SAMPLES);
     return samples < 0.5 ? 0 : total(now, Metric.LATENCY_SUM) / samples;
--- a/src/main/java/loadbalancer/decision/SlowStart.java
+++ b/src/main/java/loadbalancer/decision/SlowStart.java
@@ -4,25 +4,27 @@
 import loadbalancer.decision.api.Tenant;
 
 /**
- * Limits what endpoints get while they warm up. Owns their budgets, the usual rate, and whether
- * that can be observed.
+ * Limits the attempts that endpoints get while they warm up. Owns their budgets, the baseline rate
+ * of attempts at an endpoint, and the minimum of that rate while it cannot be observed.
  */
 final class SlowStart {
 
-  private static final double OVERLOAD_PART = 0.48; // of the contract's multiple, for chance
-  private static final double BURST_PART = 0.25; // of what the contract's window allows
+  private static final double OVERLOAD_PART = 0.48; // of the contract's multiple: random margin
+  private static final double BURST_PART = 0.25; // of the attempts allowed in the window
 
-  // Attempts a second of all instances together: a fleet that warms up as one would get none.
+  // Attempts a second that all instances together send to a warming endpoint at least. Without it,
+  // a fleet whose endpoints all warm up at the same time would get none.
   private static final double MIN_RATE = 0.5;
 
-  // With more of the ready endpoints warming up, what they get shows their budgets and no demand.
+  // With a larger fraction of the ready endpoints warming up, the observed rate reflects their
+  // budgets instead of the demand.
   private static final double MAX_WARMING_PART = 0.5;
 
   private final DecisionContext context;
   private final ServiceContract contract;
-  private final double quotaRate; // requests a second of this instance, by all quotas; 0 for none
+  private final double quotaRate; // requests a second of this instance by all quotas; 0 for none
   private final DecayingRate usualRate = new DecayingRate(); // of attempts at one ready endpoint
-  private double leastUsualRate; // what it is at least, where it cannot be observed
+  private double leastUsualRate; // 0 while the rate can be observed
 
   SlowStart(DecisionContext context) {
     this.context = context;
@@ -35,7 +37,8 @@
   }
 
   /**
-   * Notes whether few of the ready endpoints are warm, so that the usual rate is that of quotas.
+   * Sets the minimum of the baseline rate: 0 while few of the ready endpoints are warming up, else
+   * the rate that the quotas imply, because the observed rate is too low.
    */
   void onSweep(TrackedEndpoint[] ready) {
     int warming = 0;
@@ -46,7 +49,10 @@
     leastUsualRate = few ? 0 : quotaRate / ready.length;
   }
 
-  /** The part of its capacity that an endpoint surely has: it grows evenly after a start. */
+  /**
+   * Returns the fraction of its capacity that an endpoint surely has. It grows linearly from the
+   * initial capacity at the endpoint's start to 1 at the end of its slow start.
+   */
   double warmingFraction(TrackedEndpoint endpoint) {
     long age = Math.max(0, context.now - endpoint.startedAt);
     double part = age / (double) Math.max(1, contract.slowStartNanos());
@@ -54,7 +60,7 @@
     return warm ? 1 : contract.initialCapacity() * (1 - part) + part;
   }
 
-  /** Whether an endpoint may get an attempt: one that is warming needs a token of its budget. */
+  /** Returns whether an endpoint may get an attempt; a warming one needs a token of its budget. */
   boolean hasBudget(TrackedEndpoint endpoint) {
     double warming = warmingFraction(endpoint);
     if (warming >= 1) {
@@ -75,8 +81,8 @@
   }
 
   void onNewIncarnation(TrackedEndpoint endpoint) {
-    // Anywhere in the wait for its first attempt: begun at 0 by many instances, the budgets would
-    // leave the endpoint idle until all came at once.
+    // Starts with a random part of a token: if the budgets of many instances all started at 0, the
+    // endpoint would stay idle until they all sent their first attempt at the same time.
     endpoint.slowStartBudget.tokens = context.random.nextDouble();
     endpoint.slowStartBudget.filledAt = context.now;
   }
--- a/src/main/java/loadbalancer/decision/TenantQuotas.java
+++ b/src/main/java/loadbalancer/decision/TenantQuotas.java
@@ -6,15 +6,15 @@
 import loadbalancer.decision.SlidingWindow.Metric;
 import loadbalancer.decision.api.Tenant;
 
-/** Says which requests exceed their tenant's quota. Owns this instance's parts of the quotas. */
+/** Decides which requests exceed their tenant's quota. Owns this instance's shares of quotas. */
 final class TenantQuotas {
 
   private static final double BURST_SECONDS = 1; // of a quota's rate
-  private static final double MIN_BURST = 10; // requests: chance exceeds a small part of a quota
+  private static final double MIN_BURST = 10; // requests: random bursts exceed a small share
 
   private final DecisionContext context;
   private final KeyedWindows windows;
-  private final Map<String, Double> rates = new HashMap<>(); // even parts, in requests a second
+  private final Map<String, Double> rates = new HashMap<>(); // even shares, in requests a second
   private final Map<String, TokenBucket> buckets = new HashMap<>();
 
   TenantQuotas(DecisionContext context, KeyedWindows windows) {
@@ -31,7 +31,7 @@
     return rates.containsKey(tenant);
   }
 
-  /** Counts a request of a tenant that has a quota, and says whether it exceeds that. */
+  /** Counts a request of a tenant that has a quota and returns whether it exceeds the quota. */
   boolean exceeds(String tenant) {
     windows.get(tenant).add(context.now, Metric.OFFERED, 1);
     TokenBucket bucket = buckets.computeIfAbsent(tenant, k -> new TokenBucket());
@@ -41,8 +41,9 @@
     return over;
   }
 
-  // How many times its even part of the traffic this instance carries, by the median of what other
-  // tenants surely ask for here: more than 1 where clients prefer it or other instances are down.
+  // Returns the traffic of this instance as a multiple of its even share: the median over the other
+  // tenants, from low estimates of their rates, and at least 1. It exceeds 1 if clients prefer this
+  // instance or other instances are down.
   private double carriedTraffic(String tenant) {
     double[] multiples = new double[rates.size()];
     int others = 0;
--- a/src/main/java/loadbalancer/decision/TrackedEndpoint.java
+++ b/src/main/java/loadbalancer/decision/TrackedEndpoint.java
@@ -3,21 +3,21 @@
 import loadbalancer.decision.api.Endpoint;
 import loadbalancer.decision.api.EndpointState;
 
-/** What is known of an endpoint, by the part that writes it. */
+/** The state of an endpoint, grouped by the component that writes it. */
 final class TrackedEndpoint {
 
   // EndpointRegistry
   final long id;
   Endpoint listing;
-  long startedAt; // of the present incarnation; 0 where that is long ago
+  long startedAt; // start of the present incarnation; 0 if long ago
   int inFlight;
-  double load; // in flight, in mean requests
+  double load; // of the attempts in flight, in mean requests
   HashRing.Member ringMember; // null while it is not on the ring
-  long lastHeardAt; // an attempt ended, or one started beside no other
+  long lastHeardAt; // last end of an attempt, or start of the only one
 
   // OutcomeRecorder
-  final SlidingWindow responses; // successful ones; their latencies in nanoseconds
-  long firstSuccessAt; // 0 before
+  final SlidingWindow responses; // successful ones; latencies in nanoseconds times load
+  long firstSuccessAt; // 0 before the first
 
   // OutlierDetector
   int consecutiveFailures;
@@ -29,7 +29,7 @@
   long slownessAt;
 
   final TokenBucket slowStartBudget = new TokenBucket(); // SlowStart
-  long lastSearch; // BoundedLoadBalancer: the last search that came past this endpoint
+  long lastSearch; // BoundedLoadBalancer: the last pick that considered this
 
   TrackedEndpoint(long id, DecisionContext context) {
     this.id = id;
--- a/src/main/java/loadbalancer/decision/api/Action.java
+++ b/src/main/java/loadbalancer/decision/api/Action.java
@@ -1,47 +1,50 @@
 package loadbalancer.decision.api;
 
-/** What the decision engine asks its load balancer instance to do. */
+/** An action that the decision engine asks its load balancer instance to carry out. */
 public sealed interface Action {
 
   /**
-   * Start an attempt. A request's attempts count 0, 1, 2 ... in starting order.
+   * Starts an attempt. A request's attempts are numbered 0, 1, 2 ... in starting order.
    *
-   * @param timeoutNanos time after which the attempt ends with {@link AttemptStatus#TIMEOUT}; 0
-   *     where the request's deadline alone limits it
+   * @param timeoutNanos time after which the attempt ends with {@link AttemptStatus#TIMEOUT}; 0 if
+   *     only the request's deadline limits it
    */
   record StartAttempt(String requestId, long endpointId, long timeoutNanos) implements Action {}
 
-  /** Stop waiting for an attempt. The endpoint may or may not stop working on it. */
+  /** Stops waiting for an attempt. The endpoint may or may not stop working on it. */
   record CancelAttempt(String requestId, int attempt) implements Action {}
 
   /**
-   * Final answer: rejected, and the client does no harm by sending the request again.
+   * Rejects a request as its final answer. The client does no harm by sending it again.
    *
-   * @param retryAfterNanos the wait to advise before the client retries; 0 for no advice
+   * @param retryAfterNanos the wait advised to the client before it retries; 0 for no advice
    */
   record RejectRequest(String requestId, long retryAfterNanos) implements Action {}
 
-  /** Final answer: failed; the request may have run. */
+  /** Fails a request as its final answer. The request may have run. */
   record FailRequest(String requestId) implements Action {}
 
-  /** Deliver {@link Event.TimerFired} with this token at a clock reading, or soon after it. */
+  /** Requests {@link Event.TimerFired} with this token at a clock reading, or soon after it. */
   record SetTimer(String token, long atNanos) implements Action {}
 
-  /** Subscribe to the endpoint list, or stop. One {@link Event.EndpointListUpdate} answers. */
+  /**
+   * Subscribes to the endpoint list, or unsubscribes from it. One {@link Event.EndpointListUpdate}
+   * answers it.
+   */
   record WatchEndpoints(boolean enabled) implements Action {}
 
-  /** Fetch the complete endpoint list once. */
+  /** Fetches the complete endpoint list once. */
   record FetchEndpoints() implements Action {}
 
-  /** Check the health of an endpoint. */
+  /** Checks the health of an endpoint. */
   record CheckHealth(long endpointId) implements Action {}
 
-  /** Close this instance's idle connections to an endpoint. */
+  /** Closes this instance's idle connections to an endpoint. */
   record CloseIdleConnections(long endpointId) implements Action {}
 
-  /** Send at most 256 bytes to one instance of the group, or to all where {@code to} is -1. */
+  /** Sends at most 256 bytes to one instance of the group, or to all if {@code to} is -1. */
   record SendGossip(int to, byte[] data) implements Action {}
 
-  /** Write a line to the instance's log. */
+  /** Writes a line to the instance's log. */
   record LogMessage(String text) implements Action {}
 }
--- a/src/main/java/loadbalancer/decision/api/AttemptStatus.java
+++ b/src/main/java/loadbalancer/decision/api/AttemptStatus.java
@@ -1,25 +1,25 @@
 package loadbalancer.decision.api;
 
-/** How an attempt or a health check ended. */
+/** The outcome of an attempt or of a health check. */
 public enum AttemptStatus {
-  /** A complete response came. */
+  /** A complete response arrived. */
   SUCCESS,
-  /** The endpoint answered with an error, or with something unreadable. */
+  /** The endpoint answered with an error, or its response could not be parsed. */
   ERROR,
-  /** The endpoint rejected the work because it is full. */
+  /** The endpoint rejected the request because it has no free capacity. */
   REJECTED,
-  /** No complete response came within the attempt's time-out. */
+  /** No complete response arrived within the attempt's time-out. */
   TIMEOUT,
-  /** No connection could be made. */
+  /** No connection could be established. */
   CONNECT_FAILED,
   /** The connection broke after the request was sent. */
   RESET,
-  /** The attempt was cancelled on this side. */
+  /** The load balancer cancelled the attempt. */
   CANCELLED,
   /** The request was never written to a connection. */
   NOT_SENT;
 
-  /** Whether this status proves that the endpoint never began to run the request. */
+  /** Returns whether this status proves that the endpoint never began to run the request. */
   public boolean provesNotRun() {
     return this == REJECTED || this == CONNECT_FAILED || this == NOT_SENT;
   }
--- a/src/main/java/loadbalancer/decision/api/DedupScope.java
+++ b/src/main/java/loadbalancer/decision/api/DedupScope.java
@@ -1,6 +1,6 @@
 package loadbalancer.decision.api;
 
-/** The endpoints among which a repeat is recognised by its idempotency key. */
+/** The endpoints that recognise a repeated request by its idempotency key. */
 public enum DedupScope {
   /** All endpoints. */
   ALL,
--- a/src/main/java/loadbalancer/decision/api/EndpointState.java
+++ b/src/main/java/loadbalancer/decision/api/EndpointState.java
@@ -1,11 +1,11 @@
 package loadbalancer.decision.api;
 
-/** What the endpoint list says of an endpoint. */
+/** The state of an endpoint according to the endpoint list. */
 public enum EndpointState {
-  /** Takes new work. */
+  /** The endpoint accepts new requests. */
   READY,
-  /** Finishes what it has and takes no new work. */
+  /** The endpoint finishes its requests and accepts no new ones. */
   DRAINING,
-  /** No longer there. */
+  /** The endpoint no longer exists. */
   GONE
 }
--- a/src/main/java/loadbalancer/decision/api/Idempotence.java
+++ b/src/main/java/loadbalancer/decision/api/Idempotence.java
@@ -2,10 +2,10 @@
 
 /** Whether a request may run more than once. */
 public enum Idempotence {
-  /** Running again has no further effect. */
+  /** A second run has no further effect. */
   IDEMPOTENT,
-  /** Endpoints within a {@link DedupScope} drop a repeat, recognised by its idempotency key. */
+  /** The endpoints of a {@link DedupScope} recognise and drop a repeat by its idempotency key. */
   IDEMPOTENCY_KEY,
-  /** Running again does harm. */
+  /** A second run does harm. */
   NON_IDEMPOTENT
 }
--- a/src/main/java/loadbalancer/decision/api/Prices.java
+++ b/src/main/java/loadbalancer/decision/api/Prices.java
@@ -1,10 +1,10 @@
 package loadbalancer.decision.api;
 
 /**
- * What one unit costs, in points of the overall result.
+ * The cost of one unit of each kind, in points of the overall result.
  *
- * @param crossZone an attempt outside the instance's zone
- * @param waste work that no client benefits from
- * @param lateFailure a failure that comes late
+ * @param crossZone cost of an attempt outside the instance's zone
+ * @param waste cost of work that no client benefits from
+ * @param lateFailure cost of a failure that the client learns of late
  */
 public record Prices(double crossZone, double waste, double lateFailure) {}
--- a/src/main/java/loadbalancer/decision/api/UpdateKind.java
+++ b/src/main/java/loadbalancer/decision/api/UpdateKind.java
@@ -1,13 +1,13 @@
 package loadbalancer.decision.api;
 
-/** What an update of the endpoint list holds. */
+/** The content of an update of the endpoint list. */
 public enum UpdateKind {
-  /** The entries that changed. */
+  /** Only the entries that changed. */
   DELTA,
   /** The complete list. */
   FULL,
-  /** The complete list as last known, possibly stale. */
+  /** The last known complete list, which may be stale. */
   CACHED,
-  /** Nothing: the poll or the watch failed. */
+  /** No entries: the poll or the watch failed. */
   FAILED
 }
--- a/src/main/java/loadbalancer/decision/api/WeightKind.java
+++ b/src/main/java/loadbalancer/decision/api/WeightKind.java
@@ -1,17 +1,17 @@
 package loadbalancer.decision.api;
 
-/** What an endpoint's weight means. */
+/** The meaning of an endpoint's weight. */
 public enum WeightKind {
-  /** Nothing. */
+  /** The weight has no meaning. */
   NONE,
-  /** Its size, exactly. */
+  /** The weight is the endpoint's exact size. */
   NOMINAL,
-  /** Its size, roughly. */
+  /** The weight is the endpoint's approximate size. */
   ROUGH,
-  /** Its size over its recent load, which differs from one list to the next. */
+  /** The weight is the endpoint's size over its recent load, and differs between lists. */
   LIVE;
 
-  /** Whether a weight says, if only roughly, how large its endpoint is. */
+  /** Returns whether a weight states the size of its endpoint, exactly or approximately. */
   public boolean isSize() {
     return this == NOMINAL || this == ROUGH;
   }
--- a/src/main/java/loadbalancer/decision/package-info.java
+++ b/src/main/java/loadbalancer/decision/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The decisions of a load balancer, apart from input and output: {@link
- * loadbalancer.decision.LoadBalancingEngine} hands each event to the part whose job it is. Each
- * part owns its state and its constants. Times and clock readings are nanoseconds.
+ * The decision logic of a load balancer, without input and output. {@link
+ * loadbalancer.decision.LoadBalancingEngine} dispatches each event to the component that handles
+ * it. Each component owns its state and its constants. Times and clock readings are nanoseconds.
  */
 package loadbalancer.decision;
