--- a/src/test/java/loadbalancer/decision/AdaptiveRateLimiterTest.java
+++ b/src/test/java/loadbalancer/decision/AdaptiveRateLimiterTest.java
@@ -19,7 +19,7 @@
 import loadbalancer.decision.api.Tenant;
 import org.junit.jupiter.api.Test;
 
-/** The line from mean latency to allowed rate, what it is fed with, and its exceptions. */
+/** Tests the allowed rate by mean latency, the latencies that count, and the exceptions. */
 class AdaptiveRateLimiterTest {
 
   private static double published(double meanMs) {
@@ -27,8 +27,8 @@
   }
 
   /**
-   * Sends requests with a fixed number in flight, each response after the latency; the share
-   * rejected.
+   * Sends requests at the rate that keeps the given number in flight, ends every attempt after the
+   * latency, and returns the fraction of requests that were rejected.
    */
   private static double rejectedShare(
       EngineDriver driver, int requests, int inFlight, long latency, AttemptStatus status) {
@@ -76,7 +76,7 @@
     assertTrue(rejectedShare(driver, 600, 30, 700 * MS, AttemptStatus.SUCCESS) > 0.2);
   }
 
-  /** A retry past the latency objective earns nothing and crowds out others. */
+  /** A client's retry after the latency objective is worthless and displaces other requests. */
   @Test
   void retryAfterIsSpreadOverATenthOfTheLatencyObjective() {
     EngineDriver driver = fiveEndpoints();
@@ -91,12 +91,17 @@
       driver.completeFor(700 / 30 * MS, AttemptStatus.SUCCESS, 700 * MS);
     }
     assertTrue(waits.size() > 50, "rejected: " + waits.size());
-    waits.forEach(wait -> assertTrue(wait <= 40 * MS, "of an objective of 400 ms: " + wait));
+    waits.forEach(
+        wait ->
+            assertTrue(wait <= 40 * MS, "advised wait in ns, for an objective of 400 ms: " + wait));
     assertTrue(
-        waits.stream().distinct().count() > waits.size() / 2, "spread, or all come back at once");
+        waits.stream().distinct().count() > waits.size() / 2, "most advised waits are equal");
   }
 
-  /** Such clients had healthy endpoints ejected, and the requests of all others rejected. */
+  /**
+   * Clients with short deadlines must not cause the ejection of healthy endpoints, nor the
+   * rejection of other requests.
+   */
   @Test
   void timeOutsBeforeTheLatencyObjectiveCountAgainstNoEndpoint() {
     EngineDriver driver = fiveEndpoints();
@@ -112,10 +117,13 @@
       }
     }
     assertNotNull(impatient, "no attempt was started");
-    assertEquals(0, driver.rejections.getOrDefault("r", 0), "of those that wait");
+    assertEquals(
+        0,
+        driver.rejections.getOrDefault("r", 0),
+        "rejections of requests with the usual deadline");
   }
 
-  /** A slow dependency is no overload of this instance's making. */
+  /** A slow dependency raises latencies without an overload that this instance could relieve. */
   @Test
   void admitsRequestsWithinAQuotaWhileNoMoreThanUsualIsInFlight() {
     EngineDriver driver =
@@ -129,7 +137,10 @@
     assertEquals(0, rejectedShare(driver, "t", 300, 4, 390 * MS, AttemptStatus.SUCCESS), 0.02);
   }
 
-  /** A mean that began at 0 took half of the usual load for all of it, and rejected requests. */
+  /**
+   * Guards against a mean load that starts at 0: after a start it would be half the real load, and
+   * requests within a quota would be rejected.
+   */
   @Test
   void learnsTheUsualLoadSoonAfterAStart() {
     EngineDriver driver =
@@ -143,7 +154,9 @@
     assertEquals(0, rejectedShare(driver, "t", 300, 15, 390 * MS, AttemptStatus.SUCCESS));
   }
 
-  /** An overload from the first second on leaves no usual load to compare with. */
+  /**
+   * If the fleet is overloaded from the start, it has no load of a healthy time to compare with.
+   */
   @Test
   void rejectsWithinAQuotaWhereTheFleetWasNeverHealthy() {
     EngineDriver driver =
@@ -156,7 +169,7 @@
     assertTrue(rejectedShare(driver, "t", 300, 10, 390 * MS, AttemptStatus.SUCCESS) > 0.2);
   }
 
-  /** A fleet that collapsed would get no relief otherwise. */
+  /** Otherwise a fleet that collapsed would get no relief. */
   @Test
   void rejectsWithoutQuotasThoughFewAreInFlight() {
     EngineDriver driver = fiveEndpoints();
@@ -164,7 +177,7 @@
     assertTrue(rejectedShare(driver, 300, 4, 390 * MS, AttemptStatus.SUCCESS) > 0.2);
   }
 
-  /** Their latencies would pull the mean down. */
+  /** The low latencies of quick failures must not lower the mean latency. */
   @Test
   void quickFailuresDoNotKeepTheRateAtItsMaximum() {
     EngineDriver driver = fiveEndpoints();
@@ -172,7 +185,7 @@
     assertTrue(rejected > 0.3, "rejected " + rejected);
   }
 
-  /** One attempt in eight that is reset at once is no overload: others can do the work. */
+  /** If one attempt in eight is reset at once, other endpoints can still serve the requests. */
   @Test
   void resetsDoNotCountAsTheWholeDeadline() {
     EngineDriver driver = new EngineDriver(idempotentOnly()).withEndpoints(6);
--- a/src/test/java/loadbalancer/decision/AdmissionFloorTest.java
+++ b/src/test/java/loadbalancer/decision/AdmissionFloorTest.java
@@ -13,17 +13,20 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** However bad the last responses were, an instance that rejects still tries now and then. */
+/**
+ * Guards against an instance that rejects every request for so long that it does not notice when
+ * its endpoints recover.
+ */
 class AdmissionFloorTest {
 
-  /** An instance may not reject everything for so long without an attempt. */
+  /** The longest time without an attempt; the limiter admits a request at least every 2 s. */
   private static final long LIMIT_NANOS = 4000 * EngineDriver.MS;
 
   private static final long INTERVAL_NANOS = 100 * EngineDriver.MS;
 
   /**
-   * Every attempt ends after twice the latency objective; windows are two objectives long. In none
-   * of the cases are all endpoints full: where they are, nothing could be attempted.
+   * Every attempt ends after twice the latency objective, and windows are two objectives long. The
+   * endpoints are never all full, because nothing could be attempted then.
    */
   @ParameterizedTest
   @CsvSource({"400, SUCCESS", "400, TIMEOUT", "3000, SUCCESS", "3000, TIMEOUT", "10000, TIMEOUT"})
@@ -55,7 +58,7 @@
               RejectRequest.class);
       rejected += isRejected ? 1 : 0;
       driver.completeFor(INTERVAL_NANOS, status, 2 * objective);
-      // An attempt takes longer than the interval, so that a new one is still in flight.
+      // Attempts take longer than the interval, so those started within it are still in flight.
       for (InFlightAttempt attempt : driver.inFlight) {
         longestPause = Math.max(longestPause, attempt.startedAt() - lastAttempt);
         lastAttempt = Math.max(lastAttempt, attempt.startedAt());
--- a/src/test/java/loadbalancer/decision/BoundedLoadBalancerTest.java
+++ b/src/test/java/loadbalancer/decision/BoundedLoadBalancerTest.java
@@ -19,7 +19,7 @@
 import loadbalancer.decision.api.UpdateKind;
 import org.junit.jupiter.api.Test;
 
-/** Consistent hashing with bounded loads: spread, capacity, zones, affinity. */
+/** Tests consistent hashing with bounded loads: spread, capacity, zones and key affinity. */
 class BoundedLoadBalancerTest {
 
   private static Map<String, Long> owners(EngineDriver driver, int keys) {
@@ -30,6 +30,7 @@
     return owners;
   }
 
+  /** Returns how many of 30 simultaneous requests with a work hint start at one usual endpoint. */
   private static int startedAtOnce(long hint) {
     EngineDriver driver = new EngineDriver(idempotentOnly()).withEndpoints(1);
     for (int i = 0; i < 500; i++) {
@@ -46,6 +47,7 @@
     return started;
   }
 
+  /** Returns how many of 30 simultaneous requests start after one with an odd work hint. */
   private static int startedAtOnceAfter(long odd) {
     EngineDriver driver = new EngineDriver(idempotentOnly()).withEndpoints(1);
     for (int i = 0; i < 500; i++) {
@@ -143,11 +145,11 @@
         }
       }
     }
-    assertEquals(0, remote[0], "healthy: all stay");
-    assertTrue(remote[1] > 150, "full: they leave: " + remote[1]);
+    assertEquals(0, remote[0], "attempts outside a healthy zone");
+    assertTrue(remote[1] > 150, "attempts outside a full zone: " + remote[1]);
   }
 
-  /** Requests wait here, where priority decides, and not in an endpoint's queue. */
+  /** Requests wait in the instance's queue, ordered by priority, and not in an endpoint's queue. */
   @Test
   void queuesPastTheCapacityOfAnEndpointAndRejectsEarly() {
     EngineDriver driver = new EngineDriver(idempotentOnly()).withEndpoints(1);
@@ -162,10 +164,10 @@
     assertTrue(started >= 2 && started <= 12, "started at once: " + started);
     long rejected =
         driver.advance(170 * MS).stream().filter(a -> a instanceof RejectRequest).count();
-    assertTrue(rejected > 30, "rejected inside 0.43 of the objective: " + rejected);
+    assertTrue(rejected > 30, "rejected within 0.43 of the objective: " + rejected);
   }
 
-  /** With less, requests queued for an endpoint that had no queue itself. */
+  /** Guards against a capacity so low that requests queue for an endpoint without a queue. */
   @Test
   void healthyEndpointHasCapacityForWhatItServes() {
     EngineDriver driver = new EngineDriver(idempotentOnly()).withEndpoints(1);
@@ -178,7 +180,10 @@
     assertEquals(0, waited, "queued or rejected, at a latency of 0.43 of the objective");
   }
 
-  /** With under one in flight at each, a bound of one would part them. */
+  /**
+   * With less than one request in flight at each endpoint, a load bound of 1 would send the second
+   * request to another endpoint.
+   */
   @Test
   void keepsTwoRequestsOfAKeyTogetherInALargeFleet() {
     EngineDriver driver = new EngineDriver(idempotentOnly()).withEndpoints(60);
@@ -193,7 +198,7 @@
     }
   }
 
-  /** A few heavy requests fill an endpoint that a count calls half empty. */
+  /** Guards against overload by a few heavy requests, whose number alone looks harmless. */
   @Test
   void heavyWorkHintsTakeMoreOfTheCapacity() {
     int light = startedAtOnce(20 * MS);
@@ -202,7 +207,7 @@
         light >= 4 && heavy <= light / 2, "started at once: light " + light + ", heavy " + heavy);
   }
 
-  /** Each move to an endpoint that does not know the key is work, and so more crowd. */
+  /** Each endpoint that serves a key for the first time has extra work, which adds to a surge. */
   @Test
   void keepsAKeyOnFewEndpointsInACrowd() {
     EngineDriver driver = new EngineDriver(idempotentOnly()).withEndpoints(12);
--- a/src/test/java/loadbalancer/decision/EngineDriver.java
+++ b/src/test/java/loadbalancer/decision/EngineDriver.java
@@ -28,16 +28,17 @@
 import loadbalancer.decision.api.UpdateKind;
 import loadbalancer.decision.api.WeightKind;
 
-/** Drives one engine by hand: its clock, its timers, and the attempts that it has in flight. */
+/** Drives one engine step by step: its clock, its timers, and its attempts in flight. */
 final class EngineDriver {
 
+  /** A millisecond in nanoseconds. */
   static final long MS = 1_000_000L;
 
   final LoadBalancingEngine engine;
   final List<SetTimer> timers = new ArrayList<>();
   final List<InFlightAttempt> inFlight = new ArrayList<>();
 
-  /** Rejections by the first letter of the request id. */
+  /** The number of rejections by the first letter of the request id. */
   final Map<String, Integer> rejections = new HashMap<>();
 
   long now = 1_000_000_000_000L;
@@ -55,7 +56,7 @@
     engine = new LoadBalancingEngine(settings, seed);
   }
 
-  /** A class with a latency objective of 400 ms and a deadline and dedup window of 2 s. */
+  /** Returns a class with a latency objective of 400 ms and a deadline and dedup window of 2 s. */
   static RequestClass requestClass(String name, Idempotence idempotence, DedupScope scope) {
     return new RequestClass(
         name, idempotence, scope, 2000 * MS, 400 * MS, 0, 2000 * MS, 1, 0, false);
@@ -79,7 +80,7 @@
         MS);
   }
 
-  /** Settings with the one class "c" of idempotent requests, and no tenants. */
+  /** Returns settings with one class, "c", of idempotent requests, and no tenants. */
   static Settings idempotentOnly() {
     return settings(false, List.of(), requestClass("c", Idempotence.IDEMPOTENT, DedupScope.ALL));
   }
@@ -109,7 +110,7 @@
     return handle(new EndpointListUpdate(kind, List.of(entries)));
   }
 
-  /** Begins with so many ready endpoints, whose ids count up from 100. */
+  /** Starts with the given number of ready endpoints, whose ids count up from 100. */
   EngineDriver withEndpoints(int count) {
     Endpoint[] entries = new Endpoint[count];
     for (int i = 0; i < count; i++) {
@@ -154,7 +155,7 @@
             Map.of()));
   }
 
-  /** Lets time pass with endpoints that end every attempt after a latency. */
+  /** Advances the clock and ends every attempt once it has taken the latency. */
   void completeFor(long nanos, AttemptStatus status, long latencyNanos) {
     for (long end = now + nanos; now < end; ) {
       advance(Math.min(5 * MS, end - now));
@@ -166,7 +167,7 @@
     }
   }
 
-  /** Serves one request after a latency; the endpoint that served it, or -1 where none did. */
+  /** Sends a request, ends its attempt after a latency, and returns its endpoint, or -1 if none. */
   long serve(String key, long latencyNanos) {
     String id = nextRequestId();
     long endpoint = attemptedEndpoint(request(id, "c", key));
@@ -177,7 +178,7 @@
     return endpoint;
   }
 
-  /** Lets time pass, firing the timers that come due; the actions of all of them. */
+  /** Advances the clock, fires the timers that expire, and returns the resulting actions. */
   List<Action> advance(long nanos) {
     List<Action> actions = new ArrayList<>();
     long end = now + nanos;
@@ -194,7 +195,7 @@
     return actions;
   }
 
-  /** The endpoint of the first attempt among some actions, or -1 where there is none. */
+  /** Returns the endpoint of the first attempt that the actions start, or -1 if there is none. */
   static long attemptedEndpoint(List<Action> actions) {
     return actions.stream()
         .filter(action -> action instanceof StartAttempt)
--- a/src/test/java/loadbalancer/decision/IdempotencePolicyTest.java
+++ b/src/test/java/loadbalancer/decision/IdempotencePolicyTest.java
@@ -21,12 +21,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Where a request may go after an attempt, with the expectation written out. */
+/** Tests where a request may be attempted again, and which final answer it gets otherwise. */
 class IdempotencePolicyTest {
 
   private static final long FIRST = 1;
 
-  /** Endpoint 1 (zone a, cell 1), 2 (same cell), 3 (same zone), 4 (elsewhere). */
+  /**
+   * Returns a driver with a request in flight at endpoint 1 (zone a, cell 1) and with further ready
+   * endpoints: 2 is in the same cell, 3 in the same zone, 4 in another zone.
+   */
   private static EngineDriver fleet(Idempotence idempotence, DedupScope scope, long... ids) {
     EngineDriver driver =
         new EngineDriver(settings(false, List.of(), requestClass("c", idempotence, scope)));
@@ -44,8 +47,8 @@
 
   @ParameterizedTest
   @CsvSource({
-    // idempotence, scope, status, endpoints that may get the next attempt, final answer where there
-    // is none
+    // idempotence, dedup scope, status, endpoints that may get the next attempt, final answer
+    // without another attempt
     "IDEMPOTENT, ALL, REJECTED, 2 3 4, RejectRequest",
     "IDEMPOTENT, CELL, CONNECT_FAILED, 2 3 4, RejectRequest",
     "IDEMPOTENT, ALL, ERROR, 2 3 4, RejectRequest",
--- a/src/test/java/loadbalancer/decision/OutlierDetectorTest.java
+++ b/src/test/java/loadbalancer/decision/OutlierDetectorTest.java
@@ -21,7 +21,7 @@
 import loadbalancer.decision.api.Idempotence;
 import org.junit.jupiter.api.Test;
 
-/** Ejected, silent, unreliable and slow endpoints. */
+/** Tests the detection of ejected, silent, unreliable and slow endpoints. */
 class OutlierDetectorTest {
 
   private static Map<String, Long> owners(EngineDriver driver, int keys) {
@@ -32,7 +32,10 @@
     return owners;
   }
 
-  /** Met once a second, such an endpoint never fails three times in a row. */
+  /**
+   * An endpoint that fails every other attempt never fails three times in a row, so it is not
+   * ejected.
+   */
   @Test
   void avoidsUnreliableEndpointsForNonIdempotentRequests() {
     EngineDriver driver =
@@ -61,11 +64,11 @@
       }
       driver.advance(100 * MS);
     }
-    assertTrue(met > 20, "still met by requests that may be repeated: " + met);
-    assertEquals(0, lost, "publishes that failed there");
+    assertTrue(met > 20, "attempts at it by requests that may be repeated: " + met);
+    assertEquals(0, lost, "non-idempotent requests that failed at it");
   }
 
-  /** The endpoint froze, and nothing has timed out yet. */
+  /** An endpoint froze, and no attempt at it has timed out yet. */
   @Test
   void avoidsASilentEndpointAndHedgesItsRequest() {
     EngineDriver driver = new EngineDriver(idempotentOnly()).withEndpoints(4);
@@ -78,16 +81,16 @@
     List<Action> later = driver.advance(200 * MS);
     List<StartAttempt> hedges =
         later.stream().filter(a -> a instanceof StartAttempt).map(a -> (StartAttempt) a).toList();
-    assertEquals(1, hedges.size(), "one hedge");
+    assertEquals(1, hedges.size(), "hedges");
     assertEquals(id, hedges.get(0).requestId());
     assertNotEquals(frozen, hedges.get(0).endpointId());
     assertNotEquals(frozen, driver.serve("k1", 10 * MS));
     List<Action> end =
         driver.endAttempt(id, hedges.get(0).endpointId(), AttemptStatus.SUCCESS, 10 * MS);
-    assertTrue(contains(end, CancelAttempt.class), "the slower attempt is cancelled");
+    assertTrue(contains(end, CancelAttempt.class), "the slower attempt is not cancelled");
   }
 
-  /** One short response would make every heavier request a silence. */
+  /** If few quick responses set the mean gap, a heavier request would look like silence. */
   @Test
   void endpointsWithFewResponsesAreNotSilent() {
     EngineDriver driver = new EngineDriver(idempotentOnly()).withEndpoints(4);
@@ -96,10 +99,11 @@
     }
     driver.request(driver.nextRequestId(), "c", "k1");
     assertTrue(
-        driver.advance(300 * MS).stream().noneMatch(a -> a instanceof StartAttempt), "no hedge");
+        driver.advance(300 * MS).stream().noneMatch(a -> a instanceof StartAttempt),
+        "unexpected hedge");
   }
 
-  /** Keys leave an endpoint that hangs before the time-outs, which may come seconds later. */
+  /** Keys leave an endpoint that hangs before its attempts time out, which may be seconds later. */
   @Test
   void attemptPastItsObjectiveMakesItsEndpointSlow() {
     EngineDriver driver = new EngineDriver(idempotentOnly()).withEndpoints(4);
@@ -116,10 +120,10 @@
     driver.advance(900 * MS);
     long kept = owners(driver, 100).values().stream().filter(u -> u == 100).count();
     long had = before.values().stream().filter(u -> u == 100).count();
-    assertTrue(kept < 0.7 * had, "keys kept while nothing has timed out: " + kept + " of " + had);
+    assertTrue(kept < 0.7 * had, "keys kept before any time-out: " + kept + " of " + had);
   }
 
-  /** An endpoint that fails fast looks idle otherwise. */
+  /** Without ejection, an endpoint that fails fast would look idle and attract requests. */
   @Test
   void ejectsAfterThreeFailuresInARowAndTriesAgain() {
     EngineDriver driver = new EngineDriver(idempotentOnly()).withEndpoints(6);
@@ -138,13 +142,16 @@
       driver.advance(MS);
       driver.endAttempt(id, to, AttemptStatus.SUCCESS, MS);
     }
-    assertEquals(3, toBad, "three failures eject");
+    assertEquals(3, toBad, "failures before the ejection");
     driver.advance(600 * MS);
-    assertEquals(bad, driver.serve("k0", MS), "a trial after the ejection");
-    assertEquals(bad, driver.serve("k0", MS), "back after it");
+    assertEquals(bad, driver.serve("k0", MS), "first attempt after the ejection");
+    assertEquals(bad, driver.serve("k0", MS), "second attempt after the ejection");
   }
 
-  /** No load bound shows it where an instance has under one request in flight at each. */
+  /**
+   * With less than one request in flight at each endpoint, no load bound shows that an endpoint is
+   * slow.
+   */
   @Test
   void slowEndpointRetainsPartOfItsKeysAndRegainsThem() {
     EngineDriver driver = new EngineDriver(idempotentOnly()).withEndpoints(6);
@@ -159,9 +166,9 @@
     }
     long kept = owners(driver, 300).entrySet().stream().filter(e -> e.getValue() == 100).count();
     long had = before.values().stream().filter(u -> u == 100).count();
-    assertTrue(kept > 0 && kept < 0.6 * had, "keys kept " + kept + " of " + had);
+    assertTrue(kept > 0 && kept < 0.6 * had, "keys kept: " + kept + " of " + had);
     driver.advance(60_000 * MS);
     long back = owners(driver, 300).values().stream().filter(u -> u == 100).count();
-    assertTrue(back > 0.9 * had, "back after a minute " + back + " of " + had);
+    assertTrue(back > 0.9 * had, "keys regained after a minute: " + back + " of " + had);
   }
 }
--- a/src/test/java/loadbalancer/decision/OverloadTest.java
+++ b/src/test/java/loadbalancer/decision/OverloadTest.java
@@ -36,14 +36,18 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Random legal events over seeds and settings: the observer knows the service contract alone. */
+/**
+ * Plays random valid events with random settings and checks the actions against the service
+ * contract without knowledge of the engine's decisions.
+ */
 class OverloadTest {
 
+  /** A millisecond in nanoseconds. */
   private static final long MS = 1_000_000L;
 
   private record Sent(long endpointId, String zone, int cell, long at) {}
 
-  /** What the observer knows of one request. */
+  /** A request as seen from outside the engine. */
   private static final class Entry {
     final RequestClass type;
     final long deadline;
@@ -130,7 +134,7 @@
     fire();
     assertTrue(
         timers.size() <= 1 && idle <= 2,
-        "state empties when traffic stops: " + timers.size() + " timers");
+        "timers that remain after the traffic stopped: " + timers.size());
     assertEquals(0, engine.lifecycle.inFlight.size(), "requests still in flight");
     assertEquals(0, engine.lifecycle.queue.size(), "requests still queued");
   }
@@ -185,7 +189,7 @@
         MS);
   }
 
-  /** Gives one endpoint a new state. */
+  /** Gives an endpoint a random state and returns its new entry. */
   private Endpoint change(long id) {
     EndpointState state =
         random.nextInt(3) > 0
@@ -209,7 +213,7 @@
     due.forEach(t -> handle(new TimerFired(t.token())));
   }
 
-  /** Ends some attempts: those past the deadline time out, others end at random. */
+  /** Ends attempts: those past the deadline time out, others end at random. */
   private void outcomes(int percent) {
     for (Map.Entry<String, Entry> known : List.copyOf(entries.entrySet())) {
       Entry entry = known.getValue();
@@ -243,7 +247,7 @@
       }
       assertTrue(
           entry.answered || now <= entry.deadline + settings.contract().responseSlackNanos(),
-          "late: " + known.getKey());
+          "no final answer in time for " + known.getKey());
     }
     entries.values().removeIf(entry -> entry.answered && entry.inFlight() == 0);
   }
@@ -265,7 +269,7 @@
                 || entry.type.idempotence() == Idempotence.IDEMPOTENT
                 || (entry.type.idempotence() == Idempotence.IDEMPOTENCY_KEY
                     && entry.type.dedupScope() == DedupScope.ALL),
-            "rejection of what may have run");
+            "rejection of a request that may have run");
         entry.answered = true;
       } else if (action instanceof FailRequest failure) {
         assertTrue(!entries.get(failure.requestId()).answered, "one final answer");
@@ -281,7 +285,9 @@
     assertTrue(!entry.answered, "attempt after the final answer");
     assertEquals(EndpointState.READY, to.state(), "attempt at a draining or gone endpoint");
     assertTrue(entry.attempts.size() < settings.limits().maxAttempts(), "too many attempts");
-    assertTrue(entry.inFlight() == 0 || settings.limits().hedging(), "hedge");
+    assertTrue(
+        entry.inFlight() == 0 || settings.limits().hedging(),
+        "hedge although hedging is not allowed");
     assertTrue(now < entry.deadline, "attempt past the deadline");
     for (int i = 0; i < entry.attempts.size(); i++) {
       Sent earlier = entry.attempts.get(i);
--- a/src/test/java/loadbalancer/decision/RequestLifecycleTest.java
+++ b/src/test/java/loadbalancer/decision/RequestLifecycleTest.java
@@ -26,7 +26,7 @@
 import loadbalancer.decision.api.UpdateKind;
 import org.junit.jupiter.api.Test;
 
-/** Final answers, attempts, and the endpoint list they depend on. */
+/** Tests attempts, final answers, and the subscription to the endpoint list. */
 class RequestLifecycleTest {
 
   @Test
@@ -50,7 +50,7 @@
     assertFalse(contains(driver.advance(3000 * MS), StartAttempt.class));
   }
 
-  /** With every attempt failing, retries would be a storm. */
+  /** Guards against a retry storm when every attempt fails. */
   @Test
   void retryBudgetKeepsRetriesAFractionOfTheRequests() {
     EngineDriver driver = new EngineDriver(idempotentOnly()).withEndpoints(12);
@@ -79,13 +79,13 @@
       driver.updateEndpoints(UpdateKind.FAILED);
       assertTrue(
           contains(driver.advance(1100 * MS), WatchEndpoints.class),
-          "watches again soon enough for what it may have missed");
+          "no watch within 1.1 s after a failure");
     }
     assertFalse(
         contains(
             driver.updateEndpoints(UpdateKind.FULL, readyEndpoint(1), readyEndpoint(2)),
             WatchEndpoints.class));
-    assertFalse(contains(driver.advance(9000 * MS), WatchEndpoints.class), "does not watch twice");
+    assertFalse(contains(driver.advance(9000 * MS), WatchEndpoints.class), "watches a second time");
   }
 
   @Test
--- a/src/test/java/loadbalancer/decision/SlowStartFleetTest.java
+++ b/src/test/java/loadbalancer/decision/SlowStartFleetTest.java
@@ -35,10 +35,15 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What all instances together send to a warming endpoint, though none sees what the others do. */
+/**
+ * Tests how many attempts all instances together send to a warming endpoint, although no instance
+ * sees the attempts of the others.
+ */
 class SlowStartFleetTest {
 
+  /** A millisecond in nanoseconds. */
   private static final long MS = 1_000_000L;
+
   private static final long SECOND = 1000 * MS;
   private static final long WINDOW = 2 * SECOND;
   private static final long SLOW_START = 22 * SECOND;
@@ -46,14 +51,15 @@
   private static final double INITIAL_CAPACITY = 0.14;
   private static final int ENDPOINTS = 40;
 
-  /** Offered traffic in parts of the quotas, and that of a surge. */
+  /** Offered traffic as a fraction of the quotas. */
   private static final double ASKED = 0.8;
 
+  /** Offered traffic of a surge as a fraction of the quotas. */
   private static final double SURGE = 1.3;
 
   /**
-   * Attempts at a warming endpoint in parts of those at another, at least; its mean capacity is
-   * 0.57.
+   * Least attempts at a warming endpoint as a fraction of those at a warm one. Its mean capacity
+   * during slow start is the fraction 0.57.
    */
   private static final double LEAST_USED = 0.05;
 
@@ -90,8 +96,8 @@
   }
 
   /**
-   * A fleet in one clock; requests come to the instances unevenly, and every attempt is served
-   * after a while.
+   * A fleet of instances and endpoints with one clock. The instances get different shares of the
+   * requests, and every attempt succeeds after {@link #LATENCY}.
    */
   private static final class Fleet {
 
@@ -99,7 +105,7 @@
 
     final int instances;
 
-    /** Requests a second that the quotas name for one endpoint. */
+    /** The total of the quotas for one endpoint, in requests a second. */
     final double quota;
 
     final SplittableRandom random;
@@ -144,7 +150,7 @@
       queue.add(new Due(when, order++, what));
     }
 
-    /** Forgets all that it knew and begins with the list. */
+    /** Replaces an instance's engine by a new one, which knows only the endpoint list. */
     void restart(int instance) {
       incarnations[instance]++;
       engines[instance] =
@@ -194,7 +200,7 @@
       while (instance < instances - 1 && point > shares[instance]) {
         point -= shares[instance++];
       }
-      // Few keys have much of the traffic.
+      // A few keys get much of the traffic.
       String key = "k" + (int) Math.pow(1000, random.nextDouble());
       handle(instance, new RequestArrived("r" + ids++, "c", "t", key, now + 2 * SECOND, 0, false));
       at(
@@ -212,7 +218,7 @@
       now = end;
     }
 
-    /** Restarts the first endpoints, and notifies all instances. */
+    /** Restarts the first endpoints of the list and notifies all instances. */
     void start(int warming) {
       for (int e = 0; e < warming; e++) {
         list.set(e, new Endpoint(100 + e, "a", 0, EndpointState.READY, now, 1));
@@ -222,7 +228,10 @@
       }
     }
 
-    /** By how much the attempts in any window exceed the budget and what is put down to chance. */
+    /**
+     * Returns by how many the attempts in the worst window exceed the budget plus a margin for
+     * random variation.
+     */
     double excess(int endpoint, long startedAt) {
       List<Long> times =
           attempts.getOrDefault(100L + endpoint, List.of()).stream()
@@ -234,7 +243,7 @@
           j++;
         }
         double part = Math.min(1, (times.get(i) - startedAt) / (double) SLOW_START);
-        // The quotas stand for what an endpoint can do that is not warming.
+        // The quota stands for the capacity of a warm endpoint.
         double budget =
             MULTIPLE * (INITIAL_CAPACITY + (1 - INITIAL_CAPACITY) * part) * quota * WINDOW / SECOND;
         worst = Math.max(worst, j - i - (budget + 2 * Math.sqrt(budget) + 2));
@@ -250,8 +259,8 @@
   }
 
   /**
-   * What endpoints from the first on were sent stays within their budgets, and they were served
-   * from at all.
+   * Asserts that the attempts at each warming endpoint stay within its budget, and that the warming
+   * endpoints get some.
    */
   private static void assertWithin(Fleet fleet, int warming, long startedAt, String what) {
     String message =
@@ -259,14 +268,16 @@
     long attempts = 0;
     for (int e = 0; e < warming; e++) {
       double over = fleet.excess(e, startedAt);
-      assertTrue(over <= 0, message + ": over by " + over);
+      assertTrue(over <= 0, message + ": attempts beyond the budget: " + over);
       attempts +=
           fleet.attempts.getOrDefault(100L + e, List.of()).stream()
               .filter(t -> t >= startedAt)
               .count();
     }
     double used = attempts / (warming * fleet.quota * ASKED * (fleet.now - startedAt) / SECOND);
-    assertTrue(used >= LEAST_USED, message + ": attempts at them " + used + " of those at others");
+    assertTrue(
+        used >= LEAST_USED,
+        message + ": attempts as a fraction of those at warm endpoints: " + used);
   }
 
   @ParameterizedTest
@@ -287,7 +298,8 @@
   }
 
   /**
-   * Traffic that was thin comes at once: what each has saved up meanwhile is not spent together.
+   * When traffic rises from a tenth of the usual to a surge, the tokens that the instances saved
+   * meanwhile must not be spent all at once.
    */
   @ParameterizedTest
   @ValueSource(ints = {1, 4, 30, 120})
@@ -303,8 +315,8 @@
   }
 
   /**
-   * A tenth of the instances is restarted with an empty memory again and again while endpoints are
-   * warming, then all of them.
+   * While endpoints warm up, a tenth of the instances restart in each round, and all of them once.
+   * A restarted engine has no state.
    */
   @ParameterizedTest
   @CsvSource({"1,4", "4,4", "30,4", "120,4", "1,40", "4,40", "30,40", "120,40"})
--- a/src/test/java/loadbalancer/decision/SlowStartTest.java
+++ b/src/test/java/loadbalancer/decision/SlowStartTest.java
@@ -14,7 +14,7 @@
 import loadbalancer.decision.api.UpdateKind;
 import org.junit.jupiter.api.Test;
 
-/** What one instance sends to a warming endpoint. */
+/** Tests how many attempts one instance sends to a warming endpoint. */
 class SlowStartTest {
 
   @Test
@@ -34,10 +34,13 @@
     double part = attempts / (total / 10.0);
     assertTrue(
         part > 0.1 && part < 0.3 + 0.7 * 3 / 8 + 0.1,
-        "part of another endpoint's attempts: " + part);
+        "attempts at it as a fraction of another endpoint's: " + part);
   }
 
-  /** Were every budget to begin at 0, the endpoint would idle for seconds and then get them all. */
+  /**
+   * If the budgets of all instances started at 0, the endpoint would be idle for seconds and then
+   * get the first attempts of all of them at the same time.
+   */
   @Test
   void spreadsTheFirstAttemptsOfManyInstancesOverTime() {
     Settings one = idempotentOnly();
@@ -69,16 +72,19 @@
         driver.advance(99 * MS);
       }
     }
-    // Half a second holds 100 requests of the fleet, 9 for one of eleven endpoints, 3 to 6 for one
-    // that is warming.
+    // In half a second, the instances get 100 requests: about 9 for each of the eleven endpoints,
+    // and 3 to 6 for a warming one.
     String message =
-        "attempts at a warming endpoint in each of its first half seconds: "
+        "attempts at a warming endpoint in each of its first four half-seconds: "
             + Arrays.toString(attempts);
     assertTrue(Arrays.stream(attempts).sum() >= 5, message);
     assertTrue(Arrays.stream(attempts).max().getAsInt() <= 10, message);
   }
 
-  /** It becomes fast by what it serves, and its budget limits that already. */
+  /**
+   * A warming endpoint is slow at first and gets faster only by serving requests, so its latency
+   * must not cost it its keys. Its slow-start budget already limits its load.
+   */
   @Test
   void warmingEndpointRetainsItsKeysThoughItIsSlow() {
     EngineDriver driver = new EngineDriver(idempotentOnly()).withEndpoints(5);
@@ -95,12 +101,12 @@
       driver.endAttempt(id, to, AttemptStatus.SUCCESS, to == 200 ? 25 * MS : 10 * MS);
       attempts += to == 200 ? 1 : 0;
     }
-    // Its even part is 33; its warming fraction grows from 0.3 to 0.5 meanwhile, which fits its
-    // latency, that of 2.5 others.
+    // Its even share is 33. Its capacity fraction grows from 0.3 to 0.5 meanwhile, which matches a
+    // latency 2.5 times that of the others.
     assertTrue(attempts >= 9, "attempts at it: " + attempts);
   }
 
-  /** It would be busy for seconds with as much as the others get at once. */
+  /** With as many requests at once as the others get, it would be busy for seconds. */
   @Test
   void warmingEndpointHasItsPartOfTheLoadBound() {
     EngineDriver driver = new EngineDriver(idempotentOnly()).withEndpoints(5);
@@ -123,6 +129,6 @@
     }
     assertTrue(
         most >= 1 && most <= 4,
-        "in flight at 0.3 of its capacity, where another endpoint has 8: " + most);
+        "in flight at a capacity fraction of 0.3, while another endpoint has 8: " + most);
   }
 }
--- a/src/test/java/loadbalancer/decision/TenantQuotasTest.java
+++ b/src/test/java/loadbalancer/decision/TenantQuotasTest.java
@@ -13,11 +13,12 @@
 import loadbalancer.decision.api.Tenant;
 import org.junit.jupiter.api.Test;
 
-/** What exceeds a quota, and what becomes of it. */
+/** Tests which requests exceed a quota, and how they are treated. */
 class TenantQuotasTest {
 
   /**
-   * Rejections of tenant a, each tenant's part being one a second, where each of some asks for ten.
+   * Returns the number of rejections of one tenant. Each tenant has a quota of one request a
+   * second, and each of the given ones sends ten a second.
    */
   private static int rejectionsOf(String tenant, String... asking) {
     EngineDriver driver =
@@ -52,8 +53,10 @@
       driver.completeFor(20 * MS, AttemptStatus.SUCCESS, 140 * MS);
     }
     assertTrue(
-        driver.rejections.getOrDefault("b", 0) > 300, "rejected over quota: " + driver.rejections);
-    assertEquals(0, driver.rejections.getOrDefault("s", 0), "rejected within its quota");
+        driver.rejections.getOrDefault("b", 0) > 300,
+        "rejections by tenant; the big one is over its quota: " + driver.rejections);
+    assertEquals(
+        0, driver.rejections.getOrDefault("s", 0), "rejections of the tenant within its quota");
   }
 
   @Test
@@ -66,7 +69,7 @@
                     requestClass("c", Idempotence.IDEMPOTENT, DedupScope.ALL)))
             .withEndpoints(1);
     for (int i = 0; i < 200; i++) {
-      // Slow enough for the line of requests over quota, healthy for those within.
+      // This latency is too high for requests over quota, but healthy for those within.
       driver.request(driver.nextRequestId(), "c", "k" + i % 50);
       driver.completeFor(190 * MS, AttemptStatus.SUCCESS, 180 * MS);
     }
@@ -77,13 +80,17 @@
     assertEquals(0, driver.rejections.getOrDefault("t", 0));
   }
 
-  /** Where one instance gets far more than its even part of the traffic of all tenants. */
+  /** One instance gets far more than its even share of the traffic of all tenants. */
   @Test
   void grantsMoreOfTheQuotasWhereItCarriesMoreOfTheTraffic() {
     int all = rejectionsOf("a", "a", "b", "c");
     int alone = rejectionsOf("a", "a");
     assertTrue(
         all < alone / 2,
-        "rejected " + all + " where all ask ten times their parts, " + alone + " where one does");
+        "rejected "
+            + all
+            + " if all tenants send ten times their quotas, "
+            + alone
+            + " if only one does");
   }
 }
--- a/src/test/java/loadbalancer/decision/WindowsTest.java
+++ b/src/test/java/loadbalancer/decision/WindowsTest.java
@@ -9,13 +9,13 @@
 import loadbalancer.decision.api.AttemptStatus;
 import org.junit.jupiter.api.Test;
 
-/** Sliding windows, and how many of them are kept. */
+/** Tests the totals of sliding windows, and the eviction of idle ones. */
 class WindowsTest {
 
   @Test
   void countsWithinTheWindowAndForgetsWhatIsOlder() {
     SlidingWindow window = new SlidingWindow(1200, 0);
-    assertEquals(0, window.mean(0), "an empty window is healthy");
+    assertEquals(0, window.mean(0), "mean of an empty window, which counts as healthy");
     window.add(0, Metric.ADMITTED, 1);
     window.add(150, Metric.SAMPLES, 1);
     window.add(150, Metric.LATENCY_SUM, 6);
@@ -28,7 +28,7 @@
     assertEquals(0, window.mean(90_000), 1e-9);
   }
 
-  /** Keys are ever new on long days: without it the memory would grow. */
+  /** New keys keep arriving, so the memory would grow without eviction. */
   @Test
   void forgetsKeysThatAreIdleForAWindow() {
     EngineDriver driver = new EngineDriver(idempotentOnly()).withEndpoints(3);
@@ -38,6 +38,7 @@
     }
     int kept = driver.engine.lifecycle.classifier.windows.size();
     assertTrue(
-        kept < 300, "a window of 1 s holds some 100 of 2,000 keys, and the keys kept are " + kept);
+        kept < 300,
+        "kept, of 2,000 keys, some 100 of which were used in the window of 1 s: " + kept);
   }
 }
