--- a/src/main/java/loadbalancer/decision/AdaptiveRateLimiter.java
+++ b/src/main/java/loadbalancer/decision/AdaptiveRateLimiter.java
@@ -9,22 +9,22 @@
  */
 final class AdaptiveRateLimiter {
 
-  static final double MIN_VALUE = 0.5; // mean latency up to which all are admitted
-  private static final double MAX_VALUE = 1.0; // mean latency from which few are admitted
-  private static final double HEADROOM = 1.1; // maximum rate over the offered rate
-  private static final double MIN_RATE_PART = 0.02; // minimum rate over the maximum rate
+  static final double HEALTHY_LATENCY = 0.5; // mean latency up to which all are admitted
+  private static final double CRITICAL_LATENCY = 1.0; // mean latency from which few are admitted
+  private static final double MAX_RATE_FACTOR = 1.1; // maximum rate over the offered rate
+  private static final double MIN_RATE_FRACTION = 0.02; // minimum rate over the maximum rate
   // Longest time between admissions. With long objectives, the allowed rate alone may admit nothing
   // for longer, and an instance that rejects everything would not notice that endpoints recovered.
-  private static final long MAX_PAUSE_NANOS = 2 * DecisionContext.SECOND_NANOS;
-  private static final double OVER_QUOTA_LINE = 0.3; // of both latencies, at weight 0
-  private static final double USUAL_WINDOWS = 2; // covered by the mean: surges are faster
+  private static final long MAX_ADMISSION_GAP_NANOS = 2 * DecisionContext.SECOND_NANOS;
+  private static final double OVER_QUOTA_LATENCY_FACTOR = 0.3; // of both latencies, at weight 0
+  private static final double BASELINE_WINDOWS = 2; // covered by the mean: surges are faster
 
   private final DecisionContext context;
   private final EndpointRegistry registry;
   private final SlidingWindow fleet;
-  private double usualLoad; // mean load of a ready endpoint while the fleet is healthy
-  private double usualLoadNanos; // time that the mean covers so far
-  private long admittedAt;
+  private double baselineLoad; // mean load of a ready endpoint while the fleet is healthy
+  private double baselineNanos; // time that the mean covers so far
+  private long lastAdmittedAt;
 
   AdaptiveRateLimiter(DecisionContext context, EndpointRegistry registry) {
     this.context = context;
@@ -37,9 +37,9 @@
    * minRate} for {@code maxMean} or more, and linear in between.
    */
   static double allowedRate(
-      double mean, double minValue, double maxValue, double maxRate, double minRate) {
-    double part = Math.min(1, Math.max(0, (mean - minValue) / (maxValue - minValue)));
-    return maxRate + part * (minRate - maxRate);
+      double mean, double minMean, double maxMean, double maxRate, double minRate) {
+    double fraction = Math.min(1, Math.max(0, (mean - minMean) / (maxMean - minMean)));
+    return maxRate + fraction * (minRate - maxRate);
   }
 
   /**
@@ -47,26 +47,37 @@
    *
    * @param queued the number of queued requests
    */
-  boolean admit(InFlightRequest request, int queued) {
+  boolean tryAdmit(InFlightRequest request, int queued) {
     SlidingWindow route = request.routeWindow;
     request.keyWindow.add(context.now, Metric.OFFERED, 1);
     route.add(context.now, Metric.OFFERED, 1);
     fleet.add(context.now, Metric.OFFERED, 1);
     // Requests of less weight are rejected sooner, so a tenant over its quota is throttled first.
     double weight = context.settings.overQuotaWeight();
-    double line = request.overQuota ? OVER_QUOTA_LINE + (1 - OVER_QUOTA_LINE) * weight : 1;
-    double mean = worseMean(request);
-    double maxRate = route.total(context.now, Metric.OFFERED) * HEADROOM;
+    double latencyFactor =
+        request.isOverQuota
+            ? OVER_QUOTA_LATENCY_FACTOR + (1 - OVER_QUOTA_LATENCY_FACTOR) * weight
+            : 1;
+    double mean = worseMeanLatency(request);
+    double maxRate = route.total(context.now, Metric.OFFERED) * MAX_RATE_FACTOR;
     double allowed =
-        allowedRate(mean, MIN_VALUE * line, MAX_VALUE * line, maxRate, maxRate * MIN_RATE_PART);
+        allowedRate(
+            mean,
+            HEALTHY_LATENCY * latencyFactor,
+            CRITICAL_LATENCY * latencyFactor,
+            maxRate,
+            maxRate * MIN_RATE_FRACTION);
     // With less load than while the fleet is healthy, this instance does not cause the overload.
-    boolean idle = registry.readyLoad + queued < usualLoad * registry.ready.length;
-    boolean isProtected = idle && request.hasQuota && !request.overQuota;
-    boolean isPaused = context.now - admittedAt >= MAX_PAUSE_NANOS;
-    if (route.total(context.now, Metric.ADMITTED) >= allowed && !isProtected && !isPaused) {
+    boolean isBelowBaseline = registry.readyLoad + queued < baselineLoad * registry.ready.length;
+    boolean isWithinQuotaBelowBaseline =
+        isBelowBaseline && request.hasQuota && !request.isOverQuota;
+    boolean hasReachedMaxGap = context.now - lastAdmittedAt >= MAX_ADMISSION_GAP_NANOS;
+    if (route.total(context.now, Metric.ADMITTED) >= allowed
+        && !isWithinQuotaBelowBaseline
+        && !hasReachedMaxGap) {
       return false;
     }
-    admittedAt = context.now;
+    lastAdmittedAt = context.now;
     route.add(context.now, Metric.ADMITTED, 1);
     return true;
   }
@@ -80,11 +91,11 @@
    * Returns the mean latency of a request's route, or that of the fleet if it is higher: a slow
    * fleet is not caused by one route.
    */
-  double worseMean(InFlightRequest request) {
-    return Math.max(request.routeWindow.mean(context.now), fleetMean());
+  double worseMeanLatency(InFlightRequest request) {
+    return Math.max(request.routeWindow.mean(context.now), fleetMeanLatency());
   }
 
-  double fleetMean() {
+  double fleetMeanLatency() {
     return fleet.mean(context.now);
   }
 
@@ -95,12 +106,12 @@
   }
 
   void onSweep() {
-    if (fleetMean() <= MIN_VALUE) {
+    if (fleetMeanLatency() <= HEALTHY_LATENCY) {
       // A plain mean at first: a moving one that began at 0 would be too low for seconds.
-      double most = USUAL_WINDOWS * context.windowNanos;
-      usualLoadNanos = Math.min(usualLoadNanos + context.sweepNanos, most);
+      double maxNanos = BASELINE_WINDOWS * context.windowNanos;
+      baselineNanos = Math.min(baselineNanos + context.sweepNanos, maxNanos);
       double load = registry.readyLoad / Math.max(1, registry.ready.length);
-      usualLoad += (load - usualLoad) * context.sweepNanos / usualLoadNanos;
+      baselineLoad += (load - baselineLoad) * context.sweepNanos / baselineNanos;
     }
   }
 }
--- a/src/main/java/loadbalancer/decision/Attempt.java
+++ b/src/main/java/loadbalancer/decision/Attempt.java
@@ -5,10 +5,10 @@
 
   final TrackedEndpoint endpoint;
   final long startedAt;
-  boolean inFlight = true;
+  boolean isInFlight = true;
   boolean mayHaveRun = true; // or may still run
-  boolean sent = true; // or may still be sent
-  boolean late; // was past the latency objective at a sweep
+  boolean mayHaveBeenSent = true; // or may still be sent
+  boolean isLate; // was past the latency objective at a sweep
 
   Attempt(TrackedEndpoint endpoint, long startedAt) {
     this.endpoint = endpoint;
--- a/src/main/java/loadbalancer/decision/BoundedLoadBalancer.java
+++ b/src/main/java/loadbalancer/decision/BoundedLoadBalancer.java
@@ -9,10 +9,10 @@
  */
 final class BoundedLoadBalancer {
 
-  private static final double SLACK = 0.5; // fraction by which a bound exceeds the mean load
+  private static final double BOUND_SLACK = 0.5; // fraction by which a bound exceeds the mean load
   private static final int KEY_SPREAD = 2; // endpoints a key tries, plus this multiple of its share
   private static final double SLOWNESS_POWER = 3; // an endpoint keeps 1 / slowness^3 of its keys
-  private static final double LEAVE_ZONE_SLOWNESS = 3; // of its fastest: overloaded zone
+  private static final double MAX_ZONE_SLOWNESS = 3; // above it, the zone is overloaded
 
   // With a bound of 1, one of many instances, which has less than one request in flight at each
   // endpoint, would queue half of its requests.
@@ -21,7 +21,7 @@
 
   // Mean latency, in latency objectives, that defines the capacity. With a lower one, an endpoint
   // without a queue would count as full.
-  private static final double CAPACITY_LATENCY = AdaptiveRateLimiter.MIN_VALUE;
+  private static final double CAPACITY_LATENCY = AdaptiveRateLimiter.HEALTHY_LATENCY;
   private static final int MIN_CAPACITY = 2; // with less, an idle endpoint could not show it
   private static final int MIN_CAPACITY_SAMPLES = 10; // responses needed to know a capacity
 
@@ -29,7 +29,7 @@
   private final EndpointRegistry registry;
   private final AdaptiveRateLimiter limiter;
   private final IdempotencePolicy idempotence;
-  private long search; // number of the present pick
+  private long pickNumber; // number of the present pick
 
   BoundedLoadBalancer(
       DecisionContext context, EndpointRegistry registry, AdaptiveRateLimiter limiter) {
@@ -44,42 +44,42 @@
     String key = request.arrival.affinityKey();
     long hash =
         key == null ? context.random.nextLong() : HashRing.mix(HashRing.mix(key.hashCode()));
-    int ready = registry.ready.length;
+    int readyCount = registry.ready.length;
     HashRing.Walk walk = registry.ring.walk(hash);
-    double maxLocal = maxLocal(request, ready);
+    double maxLocalCandidates = maxLocalCandidates(request, readyCount);
     TrackedEndpoint slowLocal = null;
     TrackedEndpoint remote = null;
-    search++;
-    for (int seen = 0, local = 0; seen < ready && local < maxLocal; ) {
-      TrackedEndpoint endpoint = registry.member(walk.nextSlot());
-      boolean passed = endpoint.lastSearch == search;
-      endpoint.lastSearch = search;
-      seen += passed ? 0 : 1;
-      if (passed || !isEligible(request, endpoint)) {
+    pickNumber++;
+    for (int seen = 0, local = 0; seen < readyCount && local < maxLocalCandidates; ) {
+      TrackedEndpoint endpoint = registry.endpointAt(walk.nextSlot());
+      boolean isVisited = endpoint.lastPickNumber == pickNumber;
+      endpoint.lastPickNumber = pickNumber;
+      seen += isVisited ? 0 : 1;
+      if (isVisited || !isEligible(request, endpoint)) {
         continue;
       }
       boolean hasCapacity = endpoint.load < bound(endpoint);
-      boolean retained = hasCapacity && retainsKey(endpoint, hash);
-      if (!endpoint.listing.zone().equals(context.settings.zone())) {
-        remote = remote == null && retained ? endpoint : remote;
-      } else if (retained) {
+      boolean isChosen = hasCapacity && retainsKey(endpoint, hash);
+      if (!endpoint.listEntry.zone().equals(context.settings.zone())) {
+        remote = remote == null && isChosen ? endpoint : remote;
+      } else if (isChosen) {
         return endpoint;
       } else {
         slowLocal = hasCapacity ? faster(slowLocal, endpoint) : slowLocal;
         local++;
       }
     }
-    boolean stays = slowLocal != null && slowness(slowLocal) <= LEAVE_ZONE_SLOWNESS;
-    return stays || remote == null ? slowLocal : remote;
+    boolean staysInZone = slowLocal != null && slowness(slowLocal) <= MAX_ZONE_SLOWNESS;
+    return staysInZone || remote == null ? slowLocal : remote;
   }
 
-  private double maxLocal(InFlightRequest request, int ready) {
-    double spread = Math.ceil(KEY_SPREAD * ready * limiter.keyShare(request));
-    return context.settings.keyAffinity() ? KEY_SPREAD + spread : ready;
+  private double maxLocalCandidates(InFlightRequest request, int readyCount) {
+    double spread = Math.ceil(KEY_SPREAD * readyCount * limiter.keyShare(request));
+    return context.settings.keyAffinity() ? KEY_SPREAD + spread : readyCount;
   }
 
   private boolean isEligible(InFlightRequest request, TrackedEndpoint endpoint) {
-    return idempotence.mayAttempt(request, endpoint, registry.ready.length)
+    return idempotence.canAttempt(request, endpoint, registry.ready.length)
         && registry.outliers.isAvailable(endpoint)
         && registry.slowStart.hasBudget(endpoint)
         && registry.outliers.isReliableFor(request, endpoint);
@@ -97,17 +97,18 @@
   // with less than one request in flight at each, no load bound shows that it is overloaded. The
   // slowness that warming up explains does not count, because the slow-start budget covers it.
   private boolean retainsKey(TrackedEndpoint endpoint, long hash) {
-    double slow = slowness(endpoint) * registry.slowStart.warmingFraction(endpoint);
-    return HashRing.fraction(hash, endpoint.id) * Math.pow(slow, SLOWNESS_POWER) < 1;
+    double scaledSlowness = slowness(endpoint) * registry.slowStart.capacityFraction(endpoint);
+    return HashRing.fraction(hash, endpoint.id) * Math.pow(scaledSlowness, SLOWNESS_POWER) < 1;
   }
 
   // Returns the load below which an endpoint may get a request. It is scaled down for a warming
   // endpoint, which the load of a warm one would keep busy for seconds, as its capacity is unknown.
   private double bound(TrackedEndpoint endpoint) {
-    double warming = registry.slowStart.warmingFraction(endpoint);
-    double least = warming < 1 ? MIN_WARMING_BOUND : MIN_BOUND;
-    double most = warming * (1 + SLACK) * (registry.readyLoad + 1) / registry.ready.length;
-    return Math.max(least, Math.min(Math.ceil(most), capacity(endpoint)));
+    double fraction = registry.slowStart.capacityFraction(endpoint);
+    double minBound = fraction < 1 ? MIN_WARMING_BOUND : MIN_BOUND;
+    double scaledBound =
+        fraction * (1 + BOUND_SLACK) * (registry.readyLoad + 1) / registry.ready.length;
+    return Math.max(minBound, Math.min(Math.ceil(scaledBound), capacity(endpoint)));
   }
 
   // Estimates an endpoint's capacity by Little's law: responses a second times the wanted latency.
@@ -121,7 +122,7 @@
       return Double.MAX_VALUE;
     }
     long covered = Math.min(context.windowNanos / 2, Math.max(context.sweepNanos, age));
-    double wanted = CAPACITY_LATENCY * responses.total(context.now, Metric.OBJECTIVE_SUM);
-    return Math.max(MIN_CAPACITY, wanted * DecisionContext.SECOND_NANOS / covered);
+    double objectiveSum = CAPACITY_LATENCY * responses.total(context.now, Metric.OBJECTIVE_SUM);
+    return Math.max(MIN_CAPACITY, objectiveSum * DecisionContext.SECOND_NANOS / covered);
   }
 }
--- a/src/main/java/loadbalancer/decision/DecayingRate.java
+++ b/src/main/java/loadbalancer/decision/DecayingRate.java
@@ -5,13 +5,13 @@
 
   private static final double DECAY_NANOS = 30e9; // longer than most outages
   private double sum;
-  private long firstAt;
-  private long lastAt;
+  private long firstAddedAt;
+  private long lastAddedAt;
 
   void add(long now, double amount) {
-    firstAt = firstAt == 0 ? now : firstAt;
-    sum = sum(now) + amount;
-    lastAt = now;
+    firstAddedAt = firstAddedAt == 0 ? now : firstAddedAt;
+    sum = decayedSum(now) + amount;
+    lastAddedAt = now;
   }
 
   /**
@@ -19,11 +19,11 @@
    * shorter one would mostly reflect random variation.
    */
   double perSecond(long now, double minAgeNanos) {
-    double age = Math.max(minAgeNanos, (double) (now - firstAt));
-    return sum(now) * 1e9 / (DECAY_NANOS * (1 - Math.exp(-age / DECAY_NANOS)));
+    double age = Math.max(minAgeNanos, (double) (now - firstAddedAt));
+    return decayedSum(now) * 1e9 / (DECAY_NANOS * (1 - Math.exp(-age / DECAY_NANOS)));
   }
 
-  private double sum(long now) {
-    return sum * Math.exp((lastAt - now) / DECAY_NANOS);
+  private double decayedSum(long now) {
+    return sum * Math.exp((lastAddedAt - now) / DECAY_NANOS);
   }
 }
--- a/src/main/java/loadbalancer/decision/DiscoveryPoller.java
+++ b/src/main/java/loadbalancer/decision/DiscoveryPoller.java
@@ -6,11 +6,11 @@
 /** Subscribes to the endpoint list and, with a backoff, again after failures. Owns the backoff. */
 public final class DiscoveryPoller {
 
-  static final String TIMER = "ask"; // token of the timer of the next subscription
+  static final String TIMER_TOKEN = "ask"; // token of the timer of the next subscription
 
   // The longest backoff, 1 s, and the duration of a poll must fit into the 6 s after which the
   // platform expects an instance to know of a change.
-  private static final long BACKOFF_NANOS = DecisionContext.SECOND_NANOS / 4;
+  private static final long BASE_BACKOFF_NANOS = DecisionContext.SECOND_NANOS / 4;
   private static final int MAX_DOUBLINGS = 2;
 
   private final DecisionContext context;
@@ -27,7 +27,7 @@
    * @param failures the number of consecutive failures before it
    */
   public static long maxPollBackoffNanos(int failures) {
-    return BACKOFF_NANOS << Math.min(failures, MAX_DOUBLINGS);
+    return BASE_BACKOFF_NANOS << Math.min(failures, MAX_DOUBLINGS);
   }
 
   void onUpdate(UpdateKind kind) {
@@ -35,7 +35,7 @@
       // Full jitter, so that instances do not return to the discovery service at the same time.
       long backoff = maxPollBackoffNanos(consecutiveFailures++);
       nextPollAt = context.now + (long) (backoff * context.random.nextDouble());
-      context.actions.accept(new Action.SetTimer(TIMER, nextPollAt));
+      context.actions.accept(new Action.SetTimer(TIMER_TOKEN, nextPollAt));
     } else if (kind != UpdateKind.CACHED) {
       consecutiveFailures = 0;
     } else if (context.settings.polledDiscovery()) {
--- a/src/main/java/loadbalancer/decision/EndpointRegistry.java
+++ b/src/main/java/loadbalancer/decision/EndpointRegistry.java
@@ -17,7 +17,7 @@
 /** Tracks the endpoint list. Owns the endpoints, their loads, and the ring of the ready ones. */
 final class EndpointRegistry {
 
-  private static final int POINTS = 100; // at median weight: keys vary by some 10%
+  private static final int POINTS_PER_ENDPOINT = 100; // at median weight: keys vary by some 10%
   private static final double MAX_WEIGHT = 4; // median weights; the minimum is the inverse
 
   // Read by other components, written only here.
@@ -46,11 +46,11 @@
     if (update.kind() != UpdateKind.DELTA) {
       // An endpoint that is absent from a complete list is gone.
       for (TrackedEndpoint endpoint : endpoints.values()) {
-        entries.putIfAbsent(endpoint.id, endpoint.listing.withState(EndpointState.GONE));
+        entries.putIfAbsent(endpoint.id, endpoint.listEntry.withState(EndpointState.GONE));
       }
     }
     List<TrackedEndpoint> updated = entries.values().stream().map(this::track).toList();
-    departing.removeIf(this::forgetIfOver);
+    departing.removeIf(this::removeIfDeparted);
     updateRing(updated);
   }
 
@@ -65,7 +65,7 @@
       // The same incarnation, which turned out to be older.
       endpoint.startedAt = entry.startedNanos();
     }
-    endpoint.listing = entry;
+    endpoint.listEntry = entry;
     if (entry.state() == EndpointState.GONE) {
       departing.add(endpoint);
     }
@@ -76,22 +76,22 @@
    * Returns whether an endpoint ceases to be departing: it is listed again, or it has nothing in
    * flight. In the latter case it is removed from the registry.
    */
-  private boolean forgetIfOver(TrackedEndpoint endpoint) {
-    boolean back = endpoint.listing.state() != EndpointState.GONE;
-    if (!back && endpoint.inFlight == 0) {
+  private boolean removeIfDeparted(TrackedEndpoint endpoint) {
+    boolean isListedAgain = endpoint.listEntry.state() != EndpointState.GONE;
+    if (!isListedAgain && endpoint.attemptsInFlight == 0) {
       endpoints.remove(endpoint.id);
     }
-    return back || endpoint.inFlight == 0;
+    return isListedAgain || endpoint.attemptsInFlight == 0;
   }
 
   private void updateRing(List<TrackedEndpoint> updated) {
     List<TrackedEndpoint> joining = new ArrayList<>();
     List<HashRing.Member> leaving = new ArrayList<>();
     for (TrackedEndpoint endpoint : updated) {
-      boolean onRing = endpoint.ringMember != null;
-      if (endpoint.isReady() && !onRing) {
+      boolean isOnRing = endpoint.ringMember != null;
+      if (endpoint.isReady() && !isOnRing) {
         joining.add(endpoint);
-      } else if (!endpoint.isReady() && onRing) {
+      } else if (!endpoint.isReady() && isOnRing) {
         leaving.add(endpoint.ringMember);
         bySlot.set(endpoint.ringMember.slot(), null);
         endpoint.ringMember = null;
@@ -115,7 +115,7 @@
   private void setMedianWeight() {
     if (medianWeight == 0 && ready.length > 0) {
       // Set only once, so that an update moves only the keys of the endpoints that it changes.
-      double[] weights = Arrays.stream(ready).mapToDouble(e -> e.listing.weight()).toArray();
+      double[] weights = Arrays.stream(ready).mapToDouble(e -> e.listEntry.weight()).toArray();
       Arrays.sort(weights);
       medianWeight = weights[ready.length / 2];
     }
@@ -125,7 +125,7 @@
       List<HashRing.Member> leaving, List<TrackedEndpoint> joining, TrackedEndpoint[] staying) {
     List<HashRing.Member> members = new ArrayList<>();
     for (TrackedEndpoint endpoint : staying) {
-      if (points(endpoint) != endpoint.ringMember.points()) {
+      if (pointCount(endpoint) != endpoint.ringMember.points()) {
         leaving.add(endpoint.ringMember);
         members.add(joinRing(endpoint, endpoint.ringMember.slot()));
       }
@@ -133,12 +133,12 @@
     for (TrackedEndpoint endpoint : joining) {
       members.add(joinRing(endpoint, freeSlot()));
     }
-    ring.change(leaving, members);
+    ring.update(leaving, members);
   }
 
   private HashRing.Member joinRing(TrackedEndpoint endpoint, int slot) {
     bySlot.set(slot, endpoint);
-    endpoint.ringMember = new HashRing.Member(slot, endpoint.id, points(endpoint));
+    endpoint.ringMember = new HashRing.Member(slot, endpoint.id, pointCount(endpoint));
     return endpoint.ringMember;
   }
 
@@ -152,29 +152,31 @@
   }
 
   /** Returns the member of the ring that has a slot. */
-  TrackedEndpoint member(int slot) {
+  TrackedEndpoint endpointAt(int slot) {
     return bySlot.get(slot);
   }
 
-  private int points(TrackedEndpoint endpoint) {
-    boolean weighted = context.settings.weightKind().isSize();
-    double weight = weighted && medianWeight > 0 ? endpoint.listing.weight() / medianWeight : 1;
-    return (int) Math.round(POINTS * Math.min(MAX_WEIGHT, Math.max(1 / MAX_WEIGHT, weight)));
+  private int pointCount(TrackedEndpoint endpoint) {
+    boolean isWeighted = context.settings.weightKind().isSizeBased();
+    double weight = isWeighted && medianWeight > 0 ? endpoint.listEntry.weight() / medianWeight : 1;
+    return (int)
+        Math.round(POINTS_PER_ENDPOINT * Math.min(MAX_WEIGHT, Math.max(1 / MAX_WEIGHT, weight)));
   }
 
   void onAttemptStarted(TrackedEndpoint endpoint, double load) {
-    endpoint.lastHeardAt = endpoint.inFlight == 0 ? context.now : endpoint.lastHeardAt;
-    endpoint.inFlight++;
+    endpoint.lastActivityAt =
+        endpoint.attemptsInFlight == 0 ? context.now : endpoint.lastActivityAt;
+    endpoint.attemptsInFlight++;
     endpoint.load += load;
     readyLoad += load;
     slowStart.onAttemptStarted(endpoint, ready.length);
   }
 
   void onAttemptEnded(TrackedEndpoint endpoint, double load) {
-    endpoint.inFlight--;
+    endpoint.attemptsInFlight--;
     // Reset to 0 when nothing is in flight, so that rounding errors do not accumulate.
-    endpoint.load = endpoint.inFlight == 0 ? 0 : endpoint.load - load;
-    endpoint.lastHeardAt = context.now;
+    endpoint.load = endpoint.attemptsInFlight == 0 ? 0 : endpoint.load - load;
+    endpoint.lastActivityAt = context.now;
     readyLoad -= endpoint.isReady() ? load : 0;
   }
 }
--- a/src/main/java/loadbalancer/decision/HashRing.java
+++ b/src/main/java/loadbalancer/decision/HashRing.java
@@ -10,8 +10,8 @@
  */
 final class HashRing {
 
-  private static final long SLOT_BITS = 0xffff; // low bits of a point, which hold its member's slot
-  private static final int BUCKET_POINTS = 64; // highest mean per bucket after a split
+  private static final long SLOT_MASK = 0xffff; // low bits of a point, which hold its member's slot
+  private static final int TARGET_BUCKET_POINTS = 64; // highest mean per bucket after a split
 
   private long[][] buckets = {{}}; // a power of two of them, each sorted
   private int bucketBits; // number of a point's high bits that select its bucket
@@ -27,11 +27,11 @@
   record Member(int slot, long id, int points) {}
 
   /** Removes members, given as they were added, and adds others. */
-  void change(List<Member> leaving, List<Member> joining) {
+  void update(List<Member> leaving, List<Member> joining) {
     long[] removed = points(leaving);
     long[] added = points(joining);
     pointCount += added.length - removed.length;
-    if (pointCount > 2 * BUCKET_POINTS * buckets.length) {
+    if (pointCount > 2 * TARGET_BUCKET_POINTS * buckets.length) {
       split();
     }
     int removedFrom = 0;
@@ -55,7 +55,7 @@
     int next = 0;
     for (Member member : members) {
       for (int i = 0; i < member.points; i++) {
-        points[next++] = (mix(mix(member.id) + i) & ~SLOT_BITS) | member.slot;
+        points[next++] = (mix(mix(member.id) + i) & ~SLOT_MASK) | member.slot;
       }
     }
     Arrays.sort(points);
@@ -65,7 +65,7 @@
   /** Increases the number of buckets to suit {@code pointCount} and redistributes the points. */
   private void split() {
     long[] all = Arrays.stream(buckets).flatMapToLong(Arrays::stream).toArray();
-    while (pointCount > BUCKET_POINTS << bucketBits) {
+    while (pointCount > TARGET_BUCKET_POINTS << bucketBits) {
       bucketBits++;
     }
     buckets = new long[1 << bucketBits][];
@@ -124,8 +124,8 @@
 
     private Walk(long hash) {
       bucket = bucketOf(hash);
-      int at = Arrays.binarySearch(buckets[bucket], hash & ~SLOT_BITS);
-      next = at < 0 ? -at - 1 : at;
+      int index = Arrays.binarySearch(buckets[bucket], hash & ~SLOT_MASK);
+      next = index < 0 ? -index - 1 : index;
     }
 
     /** Returns the slot of the member at the next point. */
@@ -134,7 +134,7 @@
         bucket = (bucket + 1) % buckets.length;
         next = 0;
       }
-      return (int) (buckets[bucket][next++] & SLOT_BITS);
+      return (int) (buckets[bucket][next++] & SLOT_MASK);
     }
   }
 
--- a/src/main/java/loadbalancer/decision/IdempotencePolicy.java
+++ b/src/main/java/loadbalancer/decision/IdempotencePolicy.java
@@ -13,42 +13,43 @@
    *
    * @param readyCount the number of ready endpoints
    */
-  boolean mayAttempt(InFlightRequest request, TrackedEndpoint endpoint, int readyCount) {
-    boolean othersLeft = readyCount > request.attempts.size();
+  boolean canAttempt(InFlightRequest request, TrackedEndpoint endpoint, int readyCount) {
+    boolean hasOtherEndpoints = readyCount > request.attempts.size();
     for (Attempt earlier : request.attempts) {
-      boolean avoided = earlier.endpoint == endpoint && (earlier.inFlight || othersLeft);
-      if (avoided || (earlier.mayHaveRun && !mayRepeat(request.type, earlier, endpoint.listing))) {
+      boolean isAvoided = earlier.endpoint == endpoint && (earlier.isInFlight || hasOtherEndpoints);
+      if (isAvoided
+          || (earlier.mayHaveRun && !canRepeat(request.type, earlier, endpoint.listEntry))) {
         return false;
       }
     }
     return true;
   }
 
-  private boolean mayRepeat(RequestClass type, Attempt earlier, Endpoint endpoint) {
+  private boolean canRepeat(RequestClass type, Attempt earlier, Endpoint endpoint) {
     if (type.idempotence() != Idempotence.IDEMPOTENCY_KEY) {
       return type.idempotence() == Idempotence.IDEMPOTENT;
     }
-    Endpoint first = earlier.endpoint.listing;
+    Endpoint first = earlier.endpoint.listEntry;
     DedupScope scope = type.dedupScope();
-    boolean recognised =
+    boolean isRecognised =
         scope == DedupScope.ALL
             || (scope == DedupScope.ZONE && first.zone().equals(endpoint.zone()))
             || (scope == DedupScope.CELL && first.cell() == endpoint.cell());
     // One tick shorter, because an attempt may be sent up to a tick after it is decided on.
     long window = type.dedupWindowNanos() - context.settings.tickNanos();
-    return recognised && context.now - earlier.startedAt < window;
+    return isRecognised && context.now - earlier.startedAt < window;
   }
 
   /** Returns whether a request may have run and, not being idempotent, must not run again. */
-  static boolean isSpent(InFlightRequest request) {
+  static boolean isRetryForbidden(InFlightRequest request) {
     return request.type.idempotence() == Idempotence.NON_IDEMPOTENT && request.mayHaveRun();
   }
 
   /** Returns whether the client may safely repeat a request, as it may after a rejection. */
-  static boolean mayReject(InFlightRequest request) {
+  static boolean canReject(InFlightRequest request) {
     Idempotence idempotence = request.type.idempotence();
-    boolean keyedForAll =
+    boolean isKeyedForAll =
         idempotence == Idempotence.IDEMPOTENCY_KEY && request.type.dedupScope() == DedupScope.ALL;
-    return idempotence == Idempotence.IDEMPOTENT || keyedForAll || !request.mayHaveRun();
+    return idempotence == Idempotence.IDEMPOTENT || isKeyedForAll || !request.mayHaveRun();
   }
 }
--- a/src/main/java/loadbalancer/decision/KeyedWindows.java
+++ b/src/main/java/loadbalancer/decision/KeyedWindows.java
@@ -8,7 +8,7 @@
 final class KeyedWindows {
 
   private static final int MAX_KEYS = 8_000; // bounds the memory; the least recently used one goes
-  private static final int CHECKED_PER_LOOKUP = 2; // a lookup adds at most one window
+  private static final int EVICTION_CHECKS_PER_LOOKUP = 2; // a lookup adds at most one window
 
   private final DecisionContext context;
   private final Map<String, SlidingWindow> windows = new LinkedHashMap<>(64, 0.75f, true);
@@ -21,7 +21,7 @@
     SlidingWindow window =
         windows.computeIfAbsent(key, k -> new SlidingWindow(context.windowNanos, context.now));
     Iterator<SlidingWindow> eldest = windows.values().iterator();
-    for (int i = 0; i < CHECKED_PER_LOOKUP && windows.size() > 1; i++) {
+    for (int i = 0; i < EVICTION_CHECKS_PER_LOOKUP && windows.size() > 1; i++) {
       // An idle window has the same totals as a new one, so its eviction changes no decision.
       if (!eldest.next().isIdle(context.now) && windows.size() <= MAX_KEYS) {
         break;
--- a/src/main/java/loadbalancer/decision/LoadBalancingEngine.java
+++ b/src/main/java/loadbalancer/decision/LoadBalancingEngine.java
@@ -32,7 +32,7 @@
     } else if (event instanceof Event.AttemptEnded end) {
       lifecycle.onAttemptEnded(end);
     } else if (event instanceof Event.TimerFired timer) {
-      if (timer.token().equals(DiscoveryPoller.TIMER)) {
+      if (timer.token().equals(DiscoveryPoller.TIMER_TOKEN)) {
         poller.onTimer();
       } else {
         lifecycle.onSweep();
--- a/src/main/java/loadbalancer/decision/RequestClassifier.java
+++ b/src/main/java/loadbalancer/decision/RequestClassifier.java
@@ -8,15 +8,15 @@
 /** Classifies arriving requests. Owns the keyed windows, the quotas and the mean work hint. */
 final class RequestClassifier {
 
-  private static final double MEAN_STEP = 0.005; // weight of one hint: some 200 count
-  private static final double MAX_HINT = 20; // a huge hint must not make others light
+  private static final double MEAN_HINT_SMOOTHING = 0.005; // weight of one hint: some 200 count
+  private static final double MAX_HINT_MULTIPLE = 20; // a huge hint must not make others light
   private static final double MAX_LOAD = 4; // mean requests; the minimum is the inverse
 
   final KeyedWindows windows;
   private final DecisionContext context;
   private final TenantQuotas quotas;
   private final Map<String, RequestClass> classes = new HashMap<>();
-  private double meanHint; // nanoseconds; 0 before the first hint
+  private double meanHintNanos; // 0 before the first hint
 
   RequestClassifier(DecisionContext context) {
     this.context = context;
@@ -37,23 +37,25 @@
     }
     InFlightRequest request = new InFlightRequest(arrival, type, context.now);
     request.hasQuota = quotas.hasQuota(arrival.tenant());
-    boolean over = request.hasQuota && quotas.exceeds(arrival.tenant());
-    request.overQuota = over;
-    request.priority = type.priorityWeight() * (over ? context.settings.overQuotaWeight() : 1);
-    String route = arrival.className() + ' ' + arrival.tenant() + (over ? " over" : "");
+    boolean isOverQuota = request.hasQuota && quotas.recordAndCheckExceeded(arrival.tenant());
+    request.isOverQuota = isOverQuota;
+    request.priority =
+        type.priorityWeight() * (isOverQuota ? context.settings.overQuotaWeight() : 1);
+    String route = arrival.className() + ' ' + arrival.tenant() + (isOverQuota ? " over" : "");
     request.keyWindow = windows.get(route + ' ' + arrival.affinityKey());
     request.routeWindow = windows.get(route);
-    request.load = arrival.workHintNanos() > 0 ? load(arrival.workHintNanos()) : 1;
+    request.load = arrival.workHintNanos() > 0 ? loadByHint(arrival.workHintNanos()) : 1;
     return request;
   }
 
   // Returns a request's load in mean requests. It depends on the work hint because a few heavy
   // requests fill an endpoint that seems half empty by their number.
-  private double load(long hint) {
-    meanHint +=
-        meanHint == 0
+  private double loadByHint(long hint) {
+    meanHintNanos +=
+        meanHintNanos == 0
             ? Math.min(hint, context.shortestObjectiveNanos)
-            : (Math.min((double) hint, MAX_HINT * meanHint) - meanHint) * MEAN_STEP;
-    return Math.min(MAX_LOAD, Math.max(1 / MAX_LOAD, hint / meanHint));
+            : (Math.min((double) hint, MAX_HINT_MULTIPLE * meanHintNanos) - meanHintNanos)
+                * MEAN_HINT_SMOOTHING;
+    return Math.min(MAX_LOAD, Math.max(1 / MAX_LOAD, hint / meanHintNanos));
   }
 }
--- a/src/main/java/loadbalancer/decision/RequestLifecycle.java
+++ b/src/main/java/loadbalancer/decision/RequestLifecycle.java
@@ -13,10 +13,10 @@
 /** Manages requests from arrival to their final answer. Owns them while they are in flight. */
 final class RequestLifecycle {
 
-  private static final double MAX_WAIT_PART = 0.3; // of the objective: reject early
-  private static final double RETRY_AFTER_PART = 0.1; // of the objective, for a retry to meet
-  private static final int MAX_QUEUE_TRIES = 4; // bounds the work if all endpoints are full
-  private static final int DEADLINE_SWEEPS = 2; // no attempts so close to the deadline
+  private static final double MAX_QUEUE_WAIT_FRACTION = 0.3; // of the objective: reject early
+  private static final double RETRY_AFTER_FRACTION = 0.1; // of the objective, for a retry to meet
+  private static final int MAX_FAILED_QUEUE_TRIES = 4; // bounds the work if all endpoints are full
+  private static final int DEADLINE_MARGIN_SWEEPS = 2; // no attempts so close to the deadline
 
   // Requests without a final answer or with an attempt in flight, by id.
   final Map<String, InFlightRequest> inFlight = new LinkedHashMap<>();
@@ -34,10 +34,10 @@
   private final EndpointRegistry registry;
   private final AdaptiveRateLimiter limiter;
   private final BoundedLoadBalancer balancer;
-  private final HedgePolicy hedging;
+  private final HedgePolicy hedgePolicy;
   private final OutcomeRecorder recorder;
-  private final RetryBudget retries = new RetryBudget();
-  private boolean sweepScheduled;
+  private final RetryBudget retryBudget = new RetryBudget();
+  private boolean isSweepScheduled;
 
   RequestLifecycle(DecisionContext context, EndpointRegistry registry) {
     this.context = context;
@@ -46,31 +46,32 @@
     classifier = new RequestClassifier(context);
     limiter = new AdaptiveRateLimiter(context, registry);
     balancer = new BoundedLoadBalancer(context, registry, limiter);
-    hedging = new HedgePolicy(context, limiter, registry.outliers);
+    hedgePolicy = new HedgePolicy(context, limiter, registry.outliers);
     recorder = new OutcomeRecorder(context, limiter, registry.outliers);
   }
 
   void onArrival(Event.RequestArrived arrival) {
     InFlightRequest request = classifier.classify(arrival);
-    if (inFlight.size() >= limits.maxInFlightRequests() || !limiter.admit(request, queue.size())) {
+    if (inFlight.size() >= limits.maxInFlightRequests()
+        || !limiter.tryAdmit(request, queue.size())) {
       context.actions.accept(rejection(request));
       return;
     }
     inFlight.put(request.id(), request);
-    retries.earn();
+    retryBudget.deposit();
     advance(request);
   }
 
   void onResponseStarted(String requestId) {
     InFlightRequest request = inFlight.get(requestId);
     if (request != null) {
-      request.streaming = true;
+      request.isStreaming = true;
     }
   }
 
   void onClientDisconnected(String requestId) {
     InFlightRequest request = inFlight.get(requestId);
-    if (request != null && !request.answered) {
+    if (request != null && !request.isAnswered) {
       release(request);
     }
   }
@@ -81,24 +82,24 @@
       return;
     }
     Attempt attempt = request.attempts.get(end.attempt());
-    attempt.inFlight = false;
+    attempt.isInFlight = false;
     attempt.mayHaveRun = !end.status().provesNotRun();
-    attempt.sent = end.status() != AttemptStatus.NOT_SENT;
+    attempt.mayHaveBeenSent = end.status() != AttemptStatus.NOT_SENT;
     request.attemptsInFlight--;
     registry.onAttemptEnded(attempt.endpoint, request.load);
     recorder.record(request, attempt, end);
-    if (request.answered && request.attemptsInFlight == 0) {
+    if (request.isAnswered && request.attemptsInFlight == 0) {
       inFlight.remove(request.id());
-    } else if (!request.answered && end.isRequestAnswered()) {
+    } else if (!request.isAnswered && end.isRequestAnswered()) {
       release(request);
-    } else if (!request.answered && request.attemptsInFlight == 0) {
+    } else if (!request.isAnswered && request.attemptsInFlight == 0) {
       advance(request);
     }
     advanceQueue();
   }
 
   private void advanceQueue() {
-    int tries = MAX_QUEUE_TRIES;
+    int tries = MAX_FAILED_QUEUE_TRIES;
     InFlightRequest request = queue.isEmpty() ? null : queue.first();
     while (request != null && tries > 0) {
       tries -= advance(request) ? 0 : 1;
@@ -108,22 +109,23 @@
 
   /** Sets the timer of the next sweep if requests are in flight and it is not set yet. */
   void scheduleSweep() {
-    if (!sweepScheduled && !inFlight.isEmpty()) {
-      sweepScheduled = true;
+    if (!isSweepScheduled && !inFlight.isEmpty()) {
+      isSweepScheduled = true;
       context.actions.accept(new Action.SetTimer("sweep", context.now + context.sweepNanos));
     }
   }
 
   /** Hedges requests at silent endpoints, and attempts, answers or keeps each queued request. */
   void onSweep() {
-    sweepScheduled = false;
+    isSweepScheduled = false;
     registry.outliers.onSweep(registry.ready);
     registry.slowStart.onSweep(registry.ready);
     limiter.onSweep();
     for (InFlightRequest request : inFlight.values()) {
-      recorder.recordLate(request);
-      boolean one = request.attemptsInFlight == 1 && !request.answered && !request.streaming;
-      if (one && hedging.allows(request) && !isOver(request)) {
+      recorder.recordLateAttempts(request);
+      boolean hasSingleAttempt =
+          request.attemptsInFlight == 1 && !request.isAnswered && !request.isStreaming;
+      if (hasSingleAttempt && hedgePolicy.shouldHedge(request) && !isOutOfAttempts(request)) {
         startAttempt(request);
       }
     }
@@ -132,12 +134,12 @@
 
   // Attempts, answers or queues a request without an attempt in flight; returns false if queued.
   private boolean advance(InFlightRequest request) {
-    boolean over = isOver(request);
-    if (!over && startAttempt(request)) {
+    boolean isOutOfAttempts = isOutOfAttempts(request);
+    if (!isOutOfAttempts && startAttempt(request)) {
       queue.remove(request);
-    } else if (over || hasWaited(request)) {
-      boolean mayReject = IdempotencePolicy.mayReject(request);
-      context.actions.accept(mayReject ? rejection(request) : new Action.FailRequest(request.id()));
+    } else if (isOutOfAttempts || shouldStopWaiting(request)) {
+      boolean canReject = IdempotencePolicy.canReject(request);
+      context.actions.accept(canReject ? rejection(request) : new Action.FailRequest(request.id()));
       release(request);
     } else {
       queue.add(request);
@@ -147,18 +149,18 @@
   }
 
   // Returns whether a request gets no further attempt, even if an endpoint has capacity.
-  private boolean isOver(InFlightRequest request) {
-    long lastStart = request.arrival.deadlineNanos() - DEADLINE_SWEEPS * context.sweepNanos;
+  private boolean isOutOfAttempts(InFlightRequest request) {
+    long lastStart = request.arrival.deadlineNanos() - DEADLINE_MARGIN_SWEEPS * context.sweepNanos;
     return request.attempts.size() >= limits.maxAttempts()
-        || (request.hasSentAttempt() && retries.isExhausted())
-        || IdempotencePolicy.isSpent(request)
+        || (request.hasSentAttempt() && retryBudget.isExhausted())
+        || IdempotencePolicy.isRetryForbidden(request)
         || context.now >= lastStart;
   }
 
   // Returns whether a request should not stay queued: it has waited for too long for its first
   // attempt, or no endpoint is ready for another one.
-  private boolean hasWaited(InFlightRequest request) {
-    double maxWait = MAX_WAIT_PART * request.type.latencyObjectiveNanos();
+  private boolean shouldStopWaiting(InFlightRequest request) {
+    double maxWait = MAX_QUEUE_WAIT_FRACTION * request.type.latencyObjectiveNanos();
     return request.attempts.isEmpty()
         ? context.now >= request.arrivedAt + maxWait
         : registry.ready.length == 0;
@@ -170,7 +172,7 @@
       return false;
     }
     if (request.hasSentAttempt()) {
-      retries.spend();
+      retryBudget.withdraw();
     }
     request.attempts.add(new Attempt(endpoint, context.now));
     request.attemptsInFlight++;
@@ -181,17 +183,18 @@
   }
 
   private Action rejection(InFlightRequest request) {
-    double longest = RETRY_AFTER_PART * request.type.latencyObjectiveNanos();
-    double most = limits.retryAfter() ? Math.min((double) limits.maxRetryAfterNanos(), longest) : 0;
+    double objectiveLimit = RETRY_AFTER_FRACTION * request.type.latencyObjectiveNanos();
+    double maxRetryAfter =
+        limits.retryAfter() ? Math.min((double) limits.maxRetryAfterNanos(), objectiveLimit) : 0;
     // Full jitter, so that clients that were rejected together do not retry together.
-    long retryAfter = (long) (most * context.random.nextDouble());
+    long retryAfter = (long) (maxRetryAfter * context.random.nextDouble());
     return new Action.RejectRequest(request.id(), retryAfter);
   }
 
   // Ends a request that needs no further answer: cancels its attempts, or removes it if none is in
   // flight.
   private void release(InFlightRequest request) {
-    request.answered = true;
+    request.isAnswered = true;
     queue.remove(request);
     if (request.attemptsInFlight == 0) {
       inFlight.remove(request.id());
--- a/src/main/java/loadbalancer/decision/RetryBudget.java
+++ b/src/main/java/loadbalancer/decision/RetryBudget.java
@@ -8,7 +8,7 @@
 
   private double tokens = MAX_TOKENS;
 
-  void earn() {
+  void deposit() {
     tokens = Math.min(MAX_TOKENS, tokens + TOKENS_PER_REQUEST);
   }
 
@@ -16,7 +16,7 @@
     return tokens < 1;
   }
 
-  void spend() {
+  void withdraw() {
     tokens -= 1;
   }
 }
--- a/src/main/java/loadbalancer/decision/SlidingWindow.java
+++ b/src/main/java/loadbalancer/decision/SlidingWindow.java
@@ -57,7 +57,7 @@
    * Returns a low estimate of a count's rate per second: the observed rate less one standard
    * deviation, so that random variation seldom makes it too high.
    */
-  double lowRate(long now, Metric metric) {
+  double rateLowerBound(long now, Metric metric) {
     double count = total(now, metric);
     return (count - Math.sqrt(count)) * 1e9 / (slotNanos * SLOTS);
   }
--- a/src/main/java/loadbalancer/decision/TenantQuotas.java
+++ b/src/main/java/loadbalancer/decision/TenantQuotas.java
@@ -32,28 +32,29 @@
   }
 
   /** Counts a request of a tenant that has a quota and returns whether it exceeds the quota. */
-  boolean exceeds(String tenant) {
+  boolean recordAndCheckExceeded(String tenant) {
     windows.get(tenant).add(context.now, Metric.OFFERED, 1);
     TokenBucket bucket = buckets.computeIfAbsent(tenant, k -> new TokenBucket());
-    double rate = rates.get(tenant) * carriedTraffic(tenant);
-    boolean over = bucket.fill(context.now, rate, Math.max(MIN_BURST, rate * BURST_SECONDS)) < 1;
-    bucket.tokens -= over ? 0 : 1;
-    return over;
+    double rate = rates.get(tenant) * trafficMultiple(tenant);
+    boolean isOverQuota =
+        bucket.refill(context.now, rate, Math.max(MIN_BURST, rate * BURST_SECONDS)) < 1;
+    bucket.tokens -= isOverQuota ? 0 : 1;
+    return isOverQuota;
   }
 
   // Returns the traffic of this instance as a multiple of its even share: the median over the other
   // tenants, from low estimates of their rates, and at least 1. It exceeds 1 if clients prefer this
   // instance or other instances are down.
-  private double carriedTraffic(String tenant) {
+  private double trafficMultiple(String tenant) {
     double[] multiples = new double[rates.size()];
-    int others = 0;
+    int otherCount = 0;
     for (Map.Entry<String, Double> rate : rates.entrySet()) {
       if (!rate.getKey().equals(tenant)) {
-        double asked = windows.get(rate.getKey()).lowRate(context.now, Metric.OFFERED);
-        multiples[others++] = asked / rate.getValue();
+        double offeredRate = windows.get(rate.getKey()).rateLowerBound(context.now, Metric.OFFERED);
+        multiples[otherCount++] = offeredRate / rate.getValue();
       }
     }
-    Arrays.sort(multiples, 0, others);
-    return others == 0 ? 1 : Math.max(1, multiples[(others - 1) / 2]);
+    Arrays.sort(multiples, 0, otherCount);
+    return otherCount == 0 ? 1 : Math.max(1, multiples[(otherCount - 1) / 2]);
   }
 }
--- a/src/main/java/loadbalancer/decision/TokenBucket.java
+++ b/src/main/java/loadbalancer/decision/TokenBucket.java
@@ -4,12 +4,12 @@
 final class TokenBucket {
 
   double tokens;
-  long filledAt;
+  long refilledAt;
 
   /** Adds the tokens earned since the last refill and returns the number of tokens. */
-  double fill(long now, double perSecond, double maxTokens) {
-    tokens = Math.min(maxTokens, tokens + perSecond * (now - filledAt) / 1e9);
-    filledAt = now;
+  double refill(long now, double perSecond, double maxTokens) {
+    tokens = Math.min(maxTokens, tokens + perSecond * (now - refilledAt) / 1e9);
+    refilledAt = now;
     return tokens;
   }
 }
--- a/src/main/java/loadbalancer/decision/TrackedEndpoint.java
+++ b/src/main/java/loadbalancer/decision/TrackedEndpoint.java
@@ -8,12 +8,12 @@
 
   // EndpointRegistry
   final long id;
-  Endpoint listing;
+  Endpoint listEntry;
   long startedAt; // start of the present incarnation; 0 if long ago
-  int inFlight;
+  int attemptsInFlight;
   double load; // of the attempts in flight, in mean requests
   HashRing.Member ringMember; // null while it is not on the ring
-  long lastHeardAt; // last end of an attempt, or start of the only one
+  long lastActivityAt; // last end of an attempt, or start of the only one
 
   // OutcomeRecorder
   final SlidingWindow responses; // successful ones; latencies in nanoseconds times load
@@ -29,7 +29,7 @@
   long slownessAt;
 
   final TokenBucket slowStartBudget = new TokenBucket(); // SlowStart
-  long lastSearch; // BoundedLoadBalancer: the last pick that considered this
+  long lastPickNumber; // BoundedLoadBalancer: the last pick that considered this
 
   TrackedEndpoint(long id, DecisionContext context) {
     this.id = id;
@@ -37,6 +37,6 @@
   }
 
   boolean isReady() {
-    return listing.state() == EndpointState.READY;
+    return listEntry.state() == EndpointState.READY;
   }
 }
--- a/src/main/java/loadbalancer/decision/api/WeightKind.java
+++ b/src/main/java/loadbalancer/decision/api/WeightKind.java
@@ -12,7 +12,7 @@
   LIVE;
 
   /** Returns whether a weight states the size of its endpoint, exactly or approximately. */
-  public boolean isSize() {
+  public boolean isSizeBased() {
     return this == NOMINAL || this == ROUGH;
   }
 }
