--- a/src/test/java/loadbalancer/decision/AdaptiveRateLimiterTest.java
+++ b/src/test/java/loadbalancer/decision/AdaptiveRateLimiterTest.java
@@ -1,7 +1,7 @@
 package loadbalancer.decision;
 
 import static loadbalancer.decision.EngineDriver.MS;
-import static loadbalancer.decision.EngineDriver.idempotentOnly;
+import static loadbalancer.decision.EngineDriver.idempotentSettings;
 import static loadbalancer.decision.EngineDriver.requestClass;
 import static loadbalancer.decision.EngineDriver.settings;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -22,7 +22,7 @@
 /** Tests the allowed rate by mean latency, the latencies that count, and the exceptions. */
 class AdaptiveRateLimiterTest {
 
-  private static double published(double meanMs) {
+  private static double allowedRate(double meanMs) {
     return AdaptiveRateLimiter.allowedRate(meanMs, 300, 18_000, 240, 4);
   }
 
@@ -45,23 +45,23 @@
     driver.rejections.clear();
     for (int i = 0; i < requests; i++) {
       driver.request(driver.nextRequestId(), "c", tenant, "k" + i % 50, 0);
-      driver.completeFor(latency / inFlight, status, latency);
+      driver.advanceEndingAttempts(latency / inFlight, status, latency);
     }
     return driver.rejections.getOrDefault("r", 0) / (double) requests;
   }
 
   @Test
   void allowedRateMatchesThePublishedFigures() {
-    assertEquals(240, published(0));
-    assertEquals(240, published(300));
-    assertEquals(177.3, published(5000), 0.1);
-    assertEquals(122, published(9150), 0.001);
-    assertEquals(4, published(18_000));
-    assertEquals(4, published(99_000));
+    assertEquals(240, allowedRate(0));
+    assertEquals(240, allowedRate(300));
+    assertEquals(177.3, allowedRate(5000), 0.1);
+    assertEquals(122, allowedRate(9150), 0.001);
+    assertEquals(4, allowedRate(18_000));
+    assertEquals(4, allowedRate(99_000));
   }
 
   private static EngineDriver fiveEndpoints() {
-    return new EngineDriver(idempotentOnly()).withEndpoints(5);
+    return new EngineDriver(idempotentSettings()).withEndpoints(5);
   }
 
   @Test
@@ -84,18 +84,19 @@
     List<Long> waits = new ArrayList<>();
     for (int i = 0; i < 600; i++) {
       for (Action action : driver.request(driver.nextRequestId(), "c", "k" + i % 50)) {
-        if (action instanceof RejectRequest refuse) {
-          waits.add(refuse.retryAfterNanos());
+        if (action instanceof RejectRequest rejection) {
+          waits.add(rejection.retryAfterNanos());
         }
       }
-      driver.completeFor(700 / 30 * MS, AttemptStatus.SUCCESS, 700 * MS);
+      driver.advanceEndingAttempts(700 / 30 * MS, AttemptStatus.SUCCESS, 700 * MS);
     }
     assertTrue(waits.size() > 50, "rejected: " + waits.size());
     waits.forEach(
         wait ->
             assertTrue(wait <= 40 * MS, "advised wait in ns, for an objective of 400 ms: " + wait));
     assertTrue(
-        waits.stream().distinct().count() > waits.size() / 2, "most advised waits are equal");
+        waits.stream().distinct().count() > waits.size() / 2,
+        "not spread, so all clients come back at once");
   }
 
   /**
@@ -105,22 +106,20 @@
   @Test
   void timeOutsBeforeTheLatencyObjectiveCountAgainstNoEndpoint() {
     EngineDriver driver = fiveEndpoints();
-    EngineDriver.InFlightAttempt impatient = null;
+    EngineDriver.InFlightAttempt timedOut = null;
     for (int i = 0; i < 500; i++) {
       driver.serve("k" + i % 50, 40 * MS);
       driver.handle(
           new RequestArrived("h" + i, "c", null, "k" + i % 50, driver.now + 150 * MS, 0, false));
       driver.advance(150 * MS);
       for (EngineDriver.InFlightAttempt attempt : List.copyOf(driver.inFlight)) {
-        impatient = attempt;
+        timedOut = attempt;
         driver.endAttempt(attempt, AttemptStatus.TIMEOUT, 150 * MS);
       }
     }
-    assertNotNull(impatient, "no attempt was started");
+    assertNotNull(timedOut, "no attempt was started");
     assertEquals(
-        0,
-        driver.rejections.getOrDefault("r", 0),
-        "rejections of requests with the usual deadline");
+        0, driver.rejections.getOrDefault("r", 0), "rejections of those with the usual deadline");
   }
 
   /** A slow dependency raises latencies without an overload that this instance could relieve. */
@@ -188,13 +187,13 @@
   /** If one attempt in eight is reset at once, other endpoints can still serve the requests. */
   @Test
   void resetsDoNotCountAsTheWholeDeadline() {
-    EngineDriver driver = new EngineDriver(idempotentOnly()).withEndpoints(6);
+    EngineDriver driver = new EngineDriver(idempotentSettings()).withEndpoints(6);
     for (int i = 0; i < 1000; i++) {
       driver.request(driver.nextRequestId(), "c", "k" + i % 20);
       if (i % 8 == 0 && !driver.inFlight.isEmpty()) {
         driver.endAttempt(driver.inFlight.get(driver.inFlight.size() - 1), AttemptStatus.RESET, MS);
       }
-      driver.completeFor(10 * MS, AttemptStatus.SUCCESS, 10 * MS);
+      driver.advanceEndingAttempts(10 * MS, AttemptStatus.SUCCESS, 10 * MS);
     }
     int rejected = driver.rejections.values().stream().mapToInt(n -> n).sum();
     assertTrue(rejected < 50, "rejected: " + rejected);
--- a/src/test/java/loadbalancer/decision/AdmissionFloorTest.java
+++ b/src/test/java/loadbalancer/decision/AdmissionFloorTest.java
@@ -20,9 +20,9 @@
 class AdmissionFloorTest {
 
   /** The longest time without an attempt; the limiter admits a request at least every 2 s. */
-  private static final long LIMIT_NANOS = 4000 * EngineDriver.MS;
+  private static final long MAX_PAUSE_NANOS = 4000 * EngineDriver.MS;
 
-  private static final long INTERVAL_NANOS = 100 * EngineDriver.MS;
+  private static final long ARRIVAL_INTERVAL_NANOS = 100 * EngineDriver.MS;
 
   /**
    * Every attempt ends after twice the latency objective, and windows are two objectives long. The
@@ -57,7 +57,7 @@
                   new RequestArrived(id, "c", null, id, driver.now + 4 * objective, 0, false)),
               RejectRequest.class);
       rejected += isRejected ? 1 : 0;
-      driver.completeFor(INTERVAL_NANOS, status, 2 * objective);
+      driver.advanceEndingAttempts(ARRIVAL_INTERVAL_NANOS, status, 2 * objective);
       // Attempts take longer than the interval, so those started within it are still in flight.
       for (InFlightAttempt attempt : driver.inFlight) {
         longestPause = Math.max(longestPause, attempt.startedAt() - lastAttempt);
@@ -67,6 +67,6 @@
     longestPause = Math.max(longestPause, driver.now - lastAttempt);
     assertTrue(rejected > 100, "rejected: " + rejected);
     assertTrue(
-        longestPause < LIMIT_NANOS, "no attempt for " + longestPause / EngineDriver.MS + " ms");
+        longestPause < MAX_PAUSE_NANOS, "no attempt for " + longestPause / EngineDriver.MS + " ms");
   }
 }
--- a/src/test/java/loadbalancer/decision/BoundedLoadBalancerTest.java
+++ b/src/test/java/loadbalancer/decision/BoundedLoadBalancerTest.java
@@ -2,7 +2,7 @@
 
 import static loadbalancer.decision.EngineDriver.MS;
 import static loadbalancer.decision.EngineDriver.attemptedEndpoint;
-import static loadbalancer.decision.EngineDriver.idempotentOnly;
+import static loadbalancer.decision.EngineDriver.idempotentSettings;
 import static loadbalancer.decision.EngineDriver.readyEndpoint;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -32,10 +32,10 @@
 
   /** Returns how many of 30 simultaneous requests with a work hint start at one usual endpoint. */
   private static int startedAtOnce(long hint) {
-    EngineDriver driver = new EngineDriver(idempotentOnly()).withEndpoints(1);
+    EngineDriver driver = new EngineDriver(idempotentSettings()).withEndpoints(1);
     for (int i = 0; i < 500; i++) {
       driver.request(driver.nextRequestId(), "c", null, "k" + i % 10, 20 * MS);
-      driver.completeFor(20 * MS, AttemptStatus.SUCCESS, 20 * MS);
+      driver.advanceEndingAttempts(20 * MS, AttemptStatus.SUCCESS, 20 * MS);
     }
     int started = 0;
     for (int i = 0; i < 30; i++) {
@@ -48,11 +48,11 @@
   }
 
   /** Returns how many of 30 simultaneous requests start after one with an odd work hint. */
-  private static int startedAtOnceAfter(long odd) {
-    EngineDriver driver = new EngineDriver(idempotentOnly()).withEndpoints(1);
+  private static int startedAtOnceAfter(long oddHint) {
+    EngineDriver driver = new EngineDriver(idempotentSettings()).withEndpoints(1);
     for (int i = 0; i < 500; i++) {
-      driver.request(driver.nextRequestId(), "c", null, "k" + i % 10, i == 495 ? odd : 20 * MS);
-      driver.completeFor(20 * MS, AttemptStatus.SUCCESS, 20 * MS);
+      driver.request(driver.nextRequestId(), "c", null, "k" + i % 10, i == 495 ? oddHint : 20 * MS);
+      driver.advanceEndingAttempts(20 * MS, AttemptStatus.SUCCESS, 20 * MS);
     }
     int started = 0;
     for (int i = 0; i < 30; i++) {
@@ -67,13 +67,16 @@
 
   @Test
   void oneHugeWorkHintDoesNotMakeTheOthersLight() {
-    int usual = startedAtOnceAfter(20 * MS);
-    assertEquals(usual, startedAtOnceAfter(1_000_000_000_000_000L), Math.floorDiv(usual, 2));
+    int startedAfterUsualHint = startedAtOnceAfter(20 * MS);
+    assertEquals(
+        startedAfterUsualHint,
+        startedAtOnceAfter(1_000_000_000_000_000L),
+        Math.floorDiv(startedAfterUsualHint, 2));
   }
 
   @Test
   void spreadsKeysAndMigratesOnlyThoseOfAChangedEndpoint() {
-    EngineDriver driver = new EngineDriver(idempotentOnly()).withEndpoints(10);
+    EngineDriver driver = new EngineDriver(idempotentSettings()).withEndpoints(10);
     Map<String, Long> before = owners(driver, 2000);
     Map<Long, Integer> counts = new HashMap<>();
     before.values().forEach(u -> counts.merge(u, 1, Integer::sum));
@@ -95,7 +98,7 @@
 
   @Test
   void spreadsAHotKeyByTheLoadBound() {
-    EngineDriver driver = new EngineDriver(idempotentOnly()).withEndpoints(5);
+    EngineDriver driver = new EngineDriver(idempotentSettings()).withEndpoints(5);
     Map<Long, Integer> inFlight = new HashMap<>();
     for (int i = 0; i < 40; i++) {
       long to = attemptedEndpoint(driver.request(driver.nextRequestId(), "c", "hot"));
@@ -109,7 +112,7 @@
 
   @Test
   void startsNoAttemptAtADrainingOrGoneEndpoint() {
-    EngineDriver driver = new EngineDriver(idempotentOnly()).withEndpoints(3);
+    EngineDriver driver = new EngineDriver(idempotentSettings()).withEndpoints(3);
     driver.updateEndpoints(
         UpdateKind.DELTA, new Endpoint(100, "a", 0, EndpointState.DRAINING, 0, 1));
     driver.updateEndpoints(
@@ -123,7 +126,7 @@
 
   @Test
   void keysLeaveAZoneWhoseEndpointsAreFull() {
-    EngineDriver driver = new EngineDriver(idempotentOnly());
+    EngineDriver driver = new EngineDriver(idempotentSettings());
     Endpoint[] entries = new Endpoint[8];
     for (int i = 0; i < 8; i++) {
       entries[i] = new Endpoint(100 + i, i < 4 ? "a" : "b", i, EndpointState.READY, 0, 1);
@@ -136,23 +139,23 @@
         long to = attemptedEndpoint(driver.request(id, "c", "k" + i));
         remote[half] += to >= 104 ? 1 : 0;
         while (to >= 0) {
-          boolean full = half == 1 && to < 104;
+          boolean isFull = half == 1 && to < 104;
           driver.advance(20 * MS);
           to =
               attemptedEndpoint(
                   driver.endAttempt(
-                      id, to, full ? AttemptStatus.REJECTED : AttemptStatus.SUCCESS, 20 * MS));
+                      id, to, isFull ? AttemptStatus.REJECTED : AttemptStatus.SUCCESS, 20 * MS));
         }
       }
     }
-    assertEquals(0, remote[0], "attempts outside a healthy zone");
-    assertTrue(remote[1] > 150, "attempts outside a full zone: " + remote[1]);
+    assertEquals(0, remote[0], "attempts elsewhere, although all should stay");
+    assertTrue(remote[1] > 150, "attempts elsewhere, of those that should leave: " + remote[1]);
   }
 
   /** Requests wait in the instance's queue, ordered by priority, and not in an endpoint's queue. */
   @Test
   void queuesPastTheCapacityOfAnEndpointAndRejectsEarly() {
-    EngineDriver driver = new EngineDriver(idempotentOnly()).withEndpoints(1);
+    EngineDriver driver = new EngineDriver(idempotentSettings()).withEndpoints(1);
     for (int i = 0; i < 200; i++) {
       driver.serve("k" + i % 10, 20 * MS);
     }
@@ -170,14 +173,14 @@
   /** Guards against a capacity so low that requests queue for an endpoint without a queue. */
   @Test
   void healthyEndpointHasCapacityForWhatItServes() {
-    EngineDriver driver = new EngineDriver(idempotentOnly()).withEndpoints(1);
-    int waited = 0;
+    EngineDriver driver = new EngineDriver(idempotentSettings()).withEndpoints(1);
+    int notStarted = 0;
     for (int i = 0; i < 600; i++) {
-      waited +=
+      notStarted +=
           attemptedEndpoint(driver.request(driver.nextRequestId(), "c", "k" + i % 10)) >= 0 ? 0 : 1;
-      driver.completeFor(10 * MS, AttemptStatus.SUCCESS, 170 * MS);
+      driver.advanceEndingAttempts(10 * MS, AttemptStatus.SUCCESS, 170 * MS);
     }
-    assertEquals(0, waited, "queued or rejected, at a latency of 0.43 of the objective");
+    assertEquals(0, notStarted, "queued or rejected, at a latency of 0.43 of the objective");
   }
 
   /**
@@ -185,8 +188,8 @@
    * request to another endpoint.
    */
   @Test
-  void keepsTwoRequestsOfAKeyTogetherInALargeFleet() {
-    EngineDriver driver = new EngineDriver(idempotentOnly()).withEndpoints(60);
+  void sendsTwoRequestsOfAKeyToOneEndpointInALargeFleet() {
+    EngineDriver driver = new EngineDriver(idempotentSettings()).withEndpoints(60);
     for (int i = 0; i < 300; i++) {
       driver.serve("k" + i, 10 * MS);
     }
@@ -194,7 +197,7 @@
       long first = attemptedEndpoint(driver.request(driver.nextRequestId(), "c", "twice" + i));
       assertEquals(
           first, attemptedEndpoint(driver.request(driver.nextRequestId(), "c", "twice" + i)));
-      driver.completeFor(20 * MS, AttemptStatus.SUCCESS, 10 * MS);
+      driver.advanceEndingAttempts(20 * MS, AttemptStatus.SUCCESS, 10 * MS);
     }
   }
 
@@ -209,8 +212,8 @@
 
   /** Each endpoint that serves a key for the first time has extra work, which adds to a surge. */
   @Test
-  void keepsAKeyOnFewEndpointsInACrowd() {
-    EngineDriver driver = new EngineDriver(idempotentOnly()).withEndpoints(12);
+  void keepsAKeyOnFewEndpointsDuringASurge() {
+    EngineDriver driver = new EngineDriver(idempotentSettings()).withEndpoints(12);
     Map<String, Set<Long>> endpointsOfKey = new HashMap<>();
     for (int i = 0; i < 4000; i++) {
       String key = "k" + i % 60;
@@ -218,7 +221,7 @@
       if (to >= 0) {
         endpointsOfKey.computeIfAbsent(key, k -> new HashSet<>()).add(to);
       }
-      driver.completeFor(MS, AttemptStatus.SUCCESS, 200 * MS);
+      driver.advanceEndingAttempts(MS, AttemptStatus.SUCCESS, 200 * MS);
     }
     double mean = endpointsOfKey.values().stream().mapToInt(Set::size).average().getAsDouble();
     assertTrue(mean <= 3.5, "endpoints of a key: " + mean);
--- a/src/test/java/loadbalancer/decision/EngineDriver.java
+++ b/src/test/java/loadbalancer/decision/EngineDriver.java
@@ -43,7 +43,7 @@
 
   long now = 1_000_000_000_000L;
   private final Map<String, Integer> attempts = new HashMap<>();
-  private int ids;
+  private int requestCount;
 
   /** An attempt that has not ended yet. */
   record InFlightAttempt(String requestId, int attempt, long endpointId, long startedAt) {}
@@ -62,7 +62,7 @@
         name, idempotence, scope, 2000 * MS, 400 * MS, 0, 2000 * MS, 1, 0, false);
   }
 
-  static Settings settings(boolean polled, List<Tenant> tenants, RequestClass... classes) {
+  static Settings settings(boolean isPolled, List<Tenant> tenants, RequestClass... classes) {
     return new Settings(
         0,
         1,
@@ -71,9 +71,9 @@
         tenants,
         new Limits(true, false, false, true, true, 1000 * MS, 4, 10_000, 1, 200 * MS),
         new ServiceContract(
-            8 * MS, polled ? 10_000 * MS : 0, 250 * MS, 0.3, 8000 * MS, 3, 3000 * MS),
+            8 * MS, isPolled ? 10_000 * MS : 0, 250 * MS, 0.3, 8000 * MS, 3, 3000 * MS),
         new Prices(0, 0, 0),
-        polled,
+        isPolled,
         WeightKind.NONE,
         0.2,
         true,
@@ -81,7 +81,7 @@
   }
 
   /** Returns settings with one class, "c", of idempotent requests, and no tenants. */
-  static Settings idempotentOnly() {
+  static Settings idempotentSettings() {
     return settings(false, List.of(), requestClass("c", Idempotence.IDEMPOTENT, DedupScope.ALL));
   }
 
@@ -121,7 +121,7 @@
   }
 
   String nextRequestId() {
-    return "r" + ids++;
+    return "r" + requestCount++;
   }
 
   List<Action> request(String id, String className, String key) {
@@ -156,7 +156,7 @@
   }
 
   /** Advances the clock and ends every attempt once it has taken the latency. */
-  void completeFor(long nanos, AttemptStatus status, long latencyNanos) {
+  void advanceEndingAttempts(long nanos, AttemptStatus status, long latencyNanos) {
     for (long end = now + nanos; now < end; ) {
       advance(Math.min(5 * MS, end - now));
       for (InFlightAttempt attempt : List.copyOf(inFlight)) {
--- a/src/test/java/loadbalancer/decision/IdempotencePolicyTest.java
+++ b/src/test/java/loadbalancer/decision/IdempotencePolicyTest.java
@@ -24,17 +24,18 @@
 /** Tests where a request may be attempted again, and which final answer it gets otherwise. */
 class IdempotencePolicyTest {
 
-  private static final long FIRST = 1;
+  private static final long FIRST_ENDPOINT = 1;
 
   /**
    * Returns a driver with a request in flight at endpoint 1 (zone a, cell 1) and with further ready
    * endpoints: 2 is in the same cell, 3 in the same zone, 4 in another zone.
    */
-  private static EngineDriver fleet(Idempotence idempotence, DedupScope scope, long... ids) {
+  private static EngineDriver driverAfterFirstAttempt(
+      Idempotence idempotence, DedupScope scope, long... ids) {
     EngineDriver driver =
         new EngineDriver(settings(false, List.of(), requestClass("c", idempotence, scope)));
     driver.updateEndpoints(
-        UpdateKind.CACHED, new Endpoint(FIRST, "a", 1, EndpointState.READY, 0, 1));
+        UpdateKind.CACHED, new Endpoint(FIRST_ENDPOINT, "a", 1, EndpointState.READY, 0, 1));
     List<Endpoint> others = new ArrayList<>();
     for (long id : ids) {
       others.add(
@@ -82,30 +83,36 @@
     "IDEMPOTENCY_KEY, CELL, CANCELLED, 2, FailRequest"
   })
   void retriesOnlyWhereARequestCannotTakeEffectTwice(
-      Idempotence idempotence, DedupScope scope, AttemptStatus status, String allowed, String end) {
+      Idempotence idempotence,
+      DedupScope scope,
+      AttemptStatus status,
+      String allowedEndpoints,
+      String finalAnswer) {
     for (long other = 2; other <= 4; other++) {
-      EngineDriver driver = fleet(idempotence, scope, other);
-      List<Action> next = driver.endAttempt("r", FIRST, status, MS);
+      EngineDriver driver = driverAfterFirstAttempt(idempotence, scope, other);
+      List<Action> next = driver.endAttempt("r", FIRST_ENDPOINT, status, MS);
       assertEquals(
-          allowed.contains("" + other) ? other : -1,
+          allowedEndpoints.contains("" + other) ? other : -1,
           attemptedEndpoint(next),
           "attempted at " + other);
     }
-    EngineDriver alone = fleet(idempotence, scope);
+    EngineDriver alone = driverAfterFirstAttempt(idempotence, scope);
     alone.updateEndpoints(UpdateKind.FULL);
-    List<Action> last = new ArrayList<>(alone.endAttempt("r", FIRST, status, MS));
+    List<Action> last = new ArrayList<>(alone.endAttempt("r", FIRST_ENDPOINT, status, MS));
     last.addAll(alone.advance(2000 * MS));
     List<Action> finals =
         last.stream().filter(a -> a instanceof RejectRequest || a instanceof FailRequest).toList();
     assertEquals(1, finals.size());
-    assertEquals(end, finals.get(0).getClass().getSimpleName());
+    assertEquals(finalAnswer, finals.get(0).getClass().getSimpleName());
   }
 
   @Test
   void doesNotRetryPastTheDedupWindow() {
-    EngineDriver driver = fleet(Idempotence.IDEMPOTENCY_KEY, DedupScope.ALL, 2, 3);
+    EngineDriver driver =
+        driverAfterFirstAttempt(Idempotence.IDEMPOTENCY_KEY, DedupScope.ALL, 2, 3);
     driver.advance(1999 * MS);
     assertEquals(
-        -1, attemptedEndpoint(driver.endAttempt("r", FIRST, AttemptStatus.ERROR, 1999 * MS)));
+        -1,
+        attemptedEndpoint(driver.endAttempt("r", FIRST_ENDPOINT, AttemptStatus.ERROR, 1999 * MS)));
   }
 }
--- a/src/test/java/loadbalancer/decision/OutlierDetectorTest.java
+++ b/src/test/java/loadbalancer/decision/OutlierDetectorTest.java
@@ -3,7 +3,7 @@
 import static loadbalancer.decision.EngineDriver.MS;
 import static loadbalancer.decision.EngineDriver.attemptedEndpoint;
 import static loadbalancer.decision.EngineDriver.contains;
-import static loadbalancer.decision.EngineDriver.idempotentOnly;
+import static loadbalancer.decision.EngineDriver.idempotentSettings;
 import static loadbalancer.decision.EngineDriver.requestClass;
 import static loadbalancer.decision.EngineDriver.settings;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -46,32 +46,34 @@
                     requestClass("c", Idempotence.IDEMPOTENT, DedupScope.ALL),
                     requestClass("u", Idempotence.NON_IDEMPOTENT, DedupScope.ALL)))
             .withEndpoints(6);
-    int met = 0;
-    int lost = 0;
+    int attemptsAtUnreliable = 0;
+    int failedNonIdempotent = 0;
     for (int i = 0; i < 900; i++) {
-      boolean unsafe = i % 3 == 0;
+      boolean isNonIdempotent = i % 3 == 0;
       String id = driver.nextRequestId();
-      long to = attemptedEndpoint(driver.request(id, unsafe ? "u" : "c", "k" + i));
+      long to = attemptedEndpoint(driver.request(id, isNonIdempotent ? "u" : "c", "k" + i));
       driver.advance(5 * MS);
-      boolean fails = to == 103 && met++ % 2 == 0;
-      lost += fails && unsafe && i > 100 ? 1 : 0;
-      long again =
+      boolean isFailing = to == 103 && attemptsAtUnreliable++ % 2 == 0;
+      failedNonIdempotent += isFailing && isNonIdempotent && i > 100 ? 1 : 0;
+      long retryEndpoint =
           attemptedEndpoint(
               driver.endAttempt(
-                  id, to, fails ? AttemptStatus.ERROR : AttemptStatus.SUCCESS, 5 * MS));
-      if (again >= 0) {
-        driver.endAttempt(id, again, AttemptStatus.SUCCESS, 5 * MS);
+                  id, to, isFailing ? AttemptStatus.ERROR : AttemptStatus.SUCCESS, 5 * MS));
+      if (retryEndpoint >= 0) {
+        driver.endAttempt(id, retryEndpoint, AttemptStatus.SUCCESS, 5 * MS);
       }
       driver.advance(100 * MS);
     }
-    assertTrue(met > 20, "attempts at it by requests that may be repeated: " + met);
-    assertEquals(0, lost, "non-idempotent requests that failed at it");
+    assertTrue(
+        attemptsAtUnreliable > 20,
+        "attempts at it by requests that may be repeated: " + attemptsAtUnreliable);
+    assertEquals(0, failedNonIdempotent, "non-idempotent attempts that failed at it");
   }
 
   /** An endpoint froze, and no attempt at it has timed out yet. */
   @Test
   void avoidsASilentEndpointAndHedgesItsRequest() {
-    EngineDriver driver = new EngineDriver(idempotentOnly()).withEndpoints(4);
+    EngineDriver driver = new EngineDriver(idempotentSettings()).withEndpoints(4);
     for (int i = 0; i < 400; i++) {
       driver.serve("k" + i % 40, 10 * MS);
     }
@@ -93,7 +95,7 @@
   /** If few quick responses set the mean gap, a heavier request would look like silence. */
   @Test
   void endpointsWithFewResponsesAreNotSilent() {
-    EngineDriver driver = new EngineDriver(idempotentOnly()).withEndpoints(4);
+    EngineDriver driver = new EngineDriver(idempotentSettings()).withEndpoints(4);
     for (int i = 0; i < 3; i++) {
       driver.serve("k1", 2 * MS);
     }
@@ -106,7 +108,7 @@
   /** Keys leave an endpoint that hangs before its attempts time out, which may be seconds later. */
   @Test
   void attemptPastItsObjectiveMakesItsEndpointSlow() {
-    EngineDriver driver = new EngineDriver(idempotentOnly()).withEndpoints(4);
+    EngineDriver driver = new EngineDriver(idempotentSettings()).withEndpoints(4);
     for (int i = 0; i < 100; i++) {
       driver.serve("k" + i, 20 * MS);
     }
@@ -126,23 +128,23 @@
   /** Without ejection, an endpoint that fails fast would look idle and attract requests. */
   @Test
   void ejectsAfterThreeFailuresInARowAndTriesAgain() {
-    EngineDriver driver = new EngineDriver(idempotentOnly()).withEndpoints(6);
+    EngineDriver driver = new EngineDriver(idempotentSettings()).withEndpoints(6);
     for (int i = 0; i < 200; i++) {
       driver.serve("k" + i, MS);
     }
     long bad = driver.serve("k0", MS);
-    int toBad = 0;
+    int failuresAtBad = 0;
     for (int i = 0; i < 100; i++) {
       String id = driver.nextRequestId();
       long to = attemptedEndpoint(driver.request(id, "c", "k0"));
       while (to == bad) {
-        toBad++;
+        failuresAtBad++;
         to = attemptedEndpoint(driver.endAttempt(id, bad, AttemptStatus.CONNECT_FAILED, MS));
       }
       driver.advance(MS);
       driver.endAttempt(id, to, AttemptStatus.SUCCESS, MS);
     }
-    assertEquals(3, toBad, "failures before the ejection");
+    assertEquals(3, failuresAtBad, "failures before the ejection");
     driver.advance(600 * MS);
     assertEquals(bad, driver.serve("k0", MS), "first attempt after the ejection");
     assertEquals(bad, driver.serve("k0", MS), "second attempt after the ejection");
@@ -154,7 +156,7 @@
    */
   @Test
   void slowEndpointRetainsPartOfItsKeysAndRegainsThem() {
-    EngineDriver driver = new EngineDriver(idempotentOnly()).withEndpoints(6);
+    EngineDriver driver = new EngineDriver(idempotentSettings()).withEndpoints(6);
     Map<String, Long> before = owners(driver, 300);
     for (int i = 0; i < 900; i++) {
       String id = driver.nextRequestId();
--- a/src/test/java/loadbalancer/decision/RequestLifecycleTest.java
+++ b/src/test/java/loadbalancer/decision/RequestLifecycleTest.java
@@ -3,7 +3,7 @@
 import static loadbalancer.decision.EngineDriver.MS;
 import static loadbalancer.decision.EngineDriver.attemptedEndpoint;
 import static loadbalancer.decision.EngineDriver.contains;
-import static loadbalancer.decision.EngineDriver.idempotentOnly;
+import static loadbalancer.decision.EngineDriver.idempotentSettings;
 import static loadbalancer.decision.EngineDriver.readyEndpoint;
 import static loadbalancer.decision.EngineDriver.requestClass;
 import static loadbalancer.decision.EngineDriver.settings;
@@ -30,8 +30,8 @@
 class RequestLifecycleTest {
 
   @Test
-  void rejectsRequestsWhereNoEndpointIsLeft() {
-    EngineDriver driver = new EngineDriver(idempotentOnly());
+  void rejectsRequestsWithoutAnyEndpoint() {
+    EngineDriver driver = new EngineDriver(idempotentSettings());
     driver.updateEndpoints(UpdateKind.CACHED);
     assertTrue(driver.request("r", "c", "k").stream().noneMatch(a -> a instanceof StartAttempt));
     assertTrue(contains(driver.advance(2000 * MS), RejectRequest.class));
@@ -39,7 +39,7 @@
 
   @Test
   void stopsAtTheAttemptLimitAndLeavesAnsweredRequestsAlone() {
-    EngineDriver driver = new EngineDriver(idempotentOnly()).withEndpoints(12);
+    EngineDriver driver = new EngineDriver(idempotentSettings()).withEndpoints(12);
     long to = attemptedEndpoint(driver.request("r", "c", "k"));
     int attempts = 0;
     while (to >= 0) {
@@ -53,7 +53,7 @@
   /** Guards against a retry storm when every attempt fails. */
   @Test
   void retryBudgetKeepsRetriesAFractionOfTheRequests() {
-    EngineDriver driver = new EngineDriver(idempotentOnly()).withEndpoints(12);
+    EngineDriver driver = new EngineDriver(idempotentSettings()).withEndpoints(12);
     int attempts = 0;
     for (int i = 0; i < 500; i++) {
       String id = driver.nextRequestId();
@@ -68,7 +68,7 @@
   }
 
   @Test
-  void watchesTheEndpointListAndAgainAfterAFailure() {
+  void watchesTheEndpointListAgainAfterAFailure() {
     EngineDriver driver =
         new EngineDriver(
             settings(true, List.of(), requestClass("c", Idempotence.IDEMPOTENT, DedupScope.ALL)));
@@ -89,8 +89,8 @@
   }
 
   @Test
-  void usesAnEndpointAgainThatComesBackWithANewStart() {
-    EngineDriver driver = new EngineDriver(idempotentOnly()).withEndpoints(1);
+  void usesAnEndpointAgainAfterItsRestart() {
+    EngineDriver driver = new EngineDriver(idempotentSettings()).withEndpoints(1);
     driver.updateEndpoints(UpdateKind.FULL);
     assertEquals(-1, driver.serve("k", MS));
     driver.updateEndpoints(
@@ -101,7 +101,7 @@
 
   @Test
   void startedStreamHasNoDeadline() {
-    EngineDriver driver = new EngineDriver(idempotentOnly()).withEndpoints(1);
+    EngineDriver driver = new EngineDriver(idempotentSettings()).withEndpoints(1);
     driver.request("r", "c", "k");
     driver.handle(new ResponseStarted("r", 0, 100, MS));
     List<Action> later = driver.advance(5000 * MS);
--- a/src/test/java/loadbalancer/decision/ServiceContractTest.java
+++ b/src/test/java/loadbalancer/decision/ServiceContractTest.java
@@ -40,22 +40,22 @@
  * Plays random valid events with random settings and checks the actions against the service
  * contract without knowledge of the engine's decisions.
  */
-class OverloadTest {
+class ServiceContractTest {
 
   /** A millisecond in nanoseconds. */
   private static final long MS = 1_000_000L;
 
-  private record Sent(long endpointId, String zone, int cell, long at) {}
+  private record ObservedAttempt(long endpointId, String zone, int cell, long at) {}
 
   /** A request as seen from outside the engine. */
-  private static final class Entry {
+  private static final class ObservedRequest {
     final RequestClass type;
     final long deadline;
-    final List<Sent> attempts = new ArrayList<>();
+    final List<ObservedAttempt> attempts = new ArrayList<>();
     final List<AttemptStatus> statuses = new ArrayList<>();
-    boolean answered;
+    boolean isAnswered;
 
-    Entry(RequestClass type, long deadline) {
+    ObservedRequest(RequestClass type, long deadline) {
       this.type = type;
       this.deadline = deadline;
     }
@@ -65,14 +65,14 @@
     }
   }
 
-  private final Map<String, Entry> entries = new LinkedHashMap<>();
+  private final Map<String, ObservedRequest> requests = new LinkedHashMap<>();
   private final Map<Long, Endpoint> fleet = new LinkedHashMap<>();
   private final List<SetTimer> timers = new ArrayList<>();
   private SplittableRandom random;
   private Settings settings;
   private LoadBalancingEngine engine;
   private long now = 5_000_000 * MS;
-  private int ids;
+  private int requestCount;
 
   @ParameterizedTest
   @ValueSource(
@@ -84,14 +84,14 @@
     settings = settings();
     engine = new LoadBalancingEngine(settings, seed);
     for (int i = 0; i < 8; i++) {
-      change(i);
+      changeEndpoint(i);
     }
     handle(new EndpointListUpdate(UpdateKind.CACHED, List.copyOf(fleet.values())));
     for (int round = 0; round < 3000; round++) {
       now += random.nextLong(6) * MS;
-      fire();
+      fireTimers();
       if (random.nextInt(100) < 4) {
-        Endpoint changed = change(random.nextInt(12));
+        Endpoint changed = changeEndpoint(random.nextInt(12));
         handle(
             random.nextBoolean()
                 ? new EndpointListUpdate(UpdateKind.DELTA, List.of(changed))
@@ -99,25 +99,25 @@
       } else if (random.nextInt(100) < 1) {
         handle(new EndpointListUpdate(UpdateKind.FAILED, List.of()));
       }
-      arrivals();
-      outcomes(40);
+      sendRequests();
+      endAttempts(40);
     }
     for (int round = 0; round < 300; round++) {
       now += 5 * MS;
-      fire();
-      outcomes(100);
+      fireTimers();
+      endAttempts(100);
     }
-    assertNothingIsLeft();
+    assertNoStateRemains();
   }
 
-  private void arrivals() {
+  private void sendRequests() {
     for (int n = random.nextInt(4); n > 0; n--) {
       RequestClass type = settings.classes().get(random.nextInt(settings.classes().size()));
       long deadline = now + (20 + random.nextInt(600)) * MS;
-      entries.put("r" + ids, new Entry(type, deadline));
+      requests.put("r" + requestCount, new ObservedRequest(type, deadline));
       handle(
           new RequestArrived(
-              "r" + ids++,
+              "r" + requestCount++,
               type.name(),
               random.nextBoolean() ? "t" : null,
               random.nextInt(5) == 0 ? null : "k" + random.nextInt(30),
@@ -127,14 +127,14 @@
     }
   }
 
-  private void assertNothingIsLeft() {
-    entries.forEach((name, e) -> assertTrue(e.answered, "no final answer for " + name));
-    long idle = timers.size();
+  private void assertNoStateRemains() {
+    requests.forEach((name, e) -> assertTrue(e.isAnswered, "no final answer for " + name));
+    long timersBefore = timers.size();
     now += 60_000 * MS;
-    fire();
+    fireTimers();
     assertTrue(
-        timers.size() <= 1 && idle <= 2,
-        "timers that remain after the traffic stopped: " + timers.size());
+        timers.size() <= 1 && timersBefore <= 2,
+        "state remains after the traffic stopped: " + timers.size() + " timers");
     assertEquals(0, engine.lifecycle.inFlight.size(), "requests still in flight");
     assertEquals(0, engine.lifecycle.queue.size(), "requests still queued");
   }
@@ -190,12 +190,12 @@
   }
 
   /** Gives an endpoint a random state and returns its new entry. */
-  private Endpoint change(long id) {
+  private Endpoint changeEndpoint(long id) {
     EndpointState state =
         random.nextInt(3) > 0
             ? EndpointState.READY
             : random.nextBoolean() ? EndpointState.DRAINING : EndpointState.GONE;
-    Endpoint listed =
+    Endpoint entry =
         new Endpoint(
             id,
             "z" + id % 2,
@@ -203,33 +203,33 @@
             state,
             random.nextInt(4) == 0 ? now : 0,
             1 + random.nextInt(4));
-    fleet.put(id, listed);
-    return listed;
+    fleet.put(id, entry);
+    return entry;
   }
 
-  private void fire() {
+  private void fireTimers() {
     List<SetTimer> due = timers.stream().filter(t -> t.atNanos() <= now).toList();
     timers.removeAll(due);
     due.forEach(t -> handle(new TimerFired(t.token())));
   }
 
   /** Ends attempts: those past the deadline time out, others end at random. */
-  private void outcomes(int percent) {
-    for (Map.Entry<String, Entry> known : List.copyOf(entries.entrySet())) {
-      Entry entry = known.getValue();
+  private void endAttempts(int percent) {
+    for (Map.Entry<String, ObservedRequest> known : List.copyOf(requests.entrySet())) {
+      ObservedRequest entry = known.getValue();
       for (int i = 0; i < entry.attempts.size(); i++) {
-        boolean late = now >= entry.deadline;
-        if (entry.statuses.get(i) == null && (late || random.nextInt(100) < percent / 4)) {
+        boolean isLate = now >= entry.deadline;
+        if (entry.statuses.get(i) == null && (isLate || random.nextInt(100) < percent / 4)) {
           AttemptStatus status =
-              entry.answered && random.nextBoolean()
+              entry.isAnswered && random.nextBoolean()
                   ? AttemptStatus.CANCELLED
-                  : late
+                  : isLate
                       ? AttemptStatus.TIMEOUT
                       : random.nextInt(2) == 0
                           ? AttemptStatus.SUCCESS
                           : AttemptStatus.values()[random.nextInt(AttemptStatus.values().length)];
           entry.statuses.set(i, status);
-          entry.answered |= status == AttemptStatus.SUCCESS;
+          entry.isAnswered |= status == AttemptStatus.SUCCESS;
           handle(
               new AttemptEnded(
                   known.getKey(),
@@ -237,19 +237,19 @@
                   entry.attempts.get(i).endpointId(),
                   status,
                   now - entry.attempts.get(i).at(),
-                  entry.answered,
+                  entry.isAnswered,
                   Map.of()));
         }
       }
-      if (!entry.answered && random.nextInt(2000) == 0) {
-        entry.answered = true;
+      if (!entry.isAnswered && random.nextInt(2000) == 0) {
+        entry.isAnswered = true;
         handle(new ClientDisconnected(known.getKey()));
       }
       assertTrue(
-          entry.answered || now <= entry.deadline + settings.contract().responseSlackNanos(),
-          "no final answer in time for " + known.getKey());
+          entry.isAnswered || now <= entry.deadline + settings.contract().responseSlackNanos(),
+          "late final answer for " + known.getKey());
     }
-    entries.values().removeIf(entry -> entry.answered && entry.inFlight() == 0);
+    requests.values().removeIf(entry -> entry.isAnswered && entry.inFlight() == 0);
   }
 
   private void handle(Event event) {
@@ -259,30 +259,30 @@
       if (action instanceof SetTimer timer) {
         timers.add(timer);
       } else if (action instanceof StartAttempt start) {
-        checkAttempt(entries.get(start.requestId()), start);
+        checkAttempt(requests.get(start.requestId()), start);
       } else if (action instanceof RejectRequest rejection) {
-        Entry entry = entries.get(rejection.requestId());
-        assertTrue(!entry.answered, "one final answer");
-        boolean open = entry.statuses.stream().anyMatch(x -> x == null || !x.provesNotRun());
+        ObservedRequest entry = requests.get(rejection.requestId());
+        assertTrue(!entry.isAnswered, "one final answer");
+        boolean mayHaveRun = entry.statuses.stream().anyMatch(x -> x == null || !x.provesNotRun());
         assertTrue(
-            !open
+            !mayHaveRun
                 || entry.type.idempotence() == Idempotence.IDEMPOTENT
                 || (entry.type.idempotence() == Idempotence.IDEMPOTENCY_KEY
                     && entry.type.dedupScope() == DedupScope.ALL),
-            "rejection of a request that may have run");
-        entry.answered = true;
+            "rejection although it may have run");
+        entry.isAnswered = true;
       } else if (action instanceof FailRequest failure) {
-        assertTrue(!entries.get(failure.requestId()).answered, "one final answer");
-        entries.get(failure.requestId()).answered = true;
+        assertTrue(!requests.get(failure.requestId()).isAnswered, "one final answer");
+        requests.get(failure.requestId()).isAnswered = true;
       } else if (action instanceof CancelAttempt) {
         assertTrue(settings.limits().cancellation());
       }
     }
   }
 
-  private void checkAttempt(Entry entry, StartAttempt start) {
+  private void checkAttempt(ObservedRequest entry, StartAttempt start) {
     Endpoint to = fleet.get(start.endpointId());
-    assertTrue(!entry.answered, "attempt after the final answer");
+    assertTrue(!entry.isAnswered, "attempt after the final answer");
     assertEquals(EndpointState.READY, to.state(), "attempt at a draining or gone endpoint");
     assertTrue(entry.attempts.size() < settings.limits().maxAttempts(), "too many attempts");
     assertTrue(
@@ -290,7 +290,7 @@
         "hedge although hedging is not allowed");
     assertTrue(now < entry.deadline, "attempt past the deadline");
     for (int i = 0; i < entry.attempts.size(); i++) {
-      Sent earlier = entry.attempts.get(i);
+      ObservedAttempt earlier = entry.attempts.get(i);
       if (entry.type.idempotence() != Idempotence.IDEMPOTENT
           && (entry.statuses.get(i) == null || !entry.statuses.get(i).provesNotRun())) {
         assertEquals(
@@ -306,7 +306,7 @@
             "retried outside the dedup scope");
       }
     }
-    entry.attempts.add(new Sent(to.id(), to.zone(), to.cell(), now));
+    entry.attempts.add(new ObservedAttempt(to.id(), to.zone(), to.cell(), now));
     entry.statuses.add(null);
   }
 }
--- a/src/test/java/loadbalancer/decision/SlowStartFleetTest.java
+++ b/src/test/java/loadbalancer/decision/SlowStartFleetTest.java
@@ -45,28 +45,28 @@
   private static final long MS = 1_000_000L;
 
   private static final long SECOND = 1000 * MS;
-  private static final long WINDOW = 2 * SECOND;
+  private static final long OVERLOAD_WINDOW = 2 * SECOND;
   private static final long SLOW_START = 22 * SECOND;
-  private static final double MULTIPLE = 2.5;
+  private static final double OVERLOAD_MULTIPLE = 2.5;
   private static final double INITIAL_CAPACITY = 0.14;
   private static final int ENDPOINTS = 40;
 
   /** Offered traffic as a fraction of the quotas. */
-  private static final double ASKED = 0.8;
+  private static final double OFFERED_FRACTION = 0.8;
 
   /** Offered traffic of a surge as a fraction of the quotas. */
-  private static final double SURGE = 1.3;
+  private static final double SURGE_FRACTION = 1.3;
 
   /**
    * Least attempts at a warming endpoint as a fraction of those at a warm one. Its mean capacity
    * during slow start is the fraction 0.57.
    */
-  private static final double LEAST_USED = 0.05;
+  private static final double MIN_USED_FRACTION = 0.05;
 
   private static final long LATENCY = 60 * MS;
   private static final long START = 1_000 * SECOND;
 
-  private static Settings settings(int me, int instances, double quota) {
+  private static Settings settings(int instanceIndex, int instances, double quota) {
     RequestClass type =
         new RequestClass(
             "c",
@@ -80,13 +80,14 @@
             0,
             false);
     return new Settings(
-        me,
+        instanceIndex,
         instances,
         "a",
         List.of(type),
         List.of(new Tenant("t", 1, quota * ENDPOINTS)),
         new Limits(true, false, false, true, true, SECOND, 4, 10_000, 1, 200 * MS),
-        new ServiceContract(20 * MS, 0, 500 * MS, INITIAL_CAPACITY, SLOW_START, MULTIPLE, WINDOW),
+        new ServiceContract(
+            20 * MS, 0, 500 * MS, INITIAL_CAPACITY, SLOW_START, OVERLOAD_MULTIPLE, OVERLOAD_WINDOW),
         new Prices(0, 0, 0),
         false,
         WeightKind.NONE,
@@ -101,7 +102,7 @@
    */
   private static final class Fleet {
 
-    private record Due(long at, long order, LongConsumer what) {}
+    private record ScheduledTask(long at, long order, LongConsumer task) {}
 
     final int instances;
 
@@ -112,19 +113,20 @@
     final LoadBalancingEngine[] engines;
     final int[] incarnations;
     final double[] shares;
-    final PriorityQueue<Due> queue =
-        new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::order));
-    final List<Endpoint> list = new ArrayList<>();
+    final PriorityQueue<ScheduledTask> queue =
+        new PriorityQueue<>(
+            Comparator.comparingLong(ScheduledTask::at).thenComparingLong(ScheduledTask::order));
+    final List<Endpoint> endpointList = new ArrayList<>();
     final Map<Long, List<Long>> attempts = new HashMap<>();
     long now = START;
     long order;
-    int ids;
-    double asked;
+    int requestCount;
+    double offeredFraction;
 
-    Fleet(int instances, double quota, double asked, long seed) {
+    Fleet(int instances, double quota, double offeredFraction, long seed) {
       this.instances = instances;
       this.quota = quota;
-      this.asked = asked;
+      this.offeredFraction = offeredFraction;
       random = new SplittableRandom(seed);
       engines = new LoadBalancingEngine[instances];
       incarnations = new int[instances];
@@ -138,24 +140,24 @@
         shares[b] /= sum;
       }
       for (int e = 0; e < ENDPOINTS; e++) {
-        list.add(new Endpoint(100 + e, "a", 0, EndpointState.READY, 0, 1));
+        endpointList.add(new Endpoint(100 + e, "a", 0, EndpointState.READY, 0, 1));
       }
       for (int b = 0; b < instances; b++) {
-        restart(b);
+        restartInstance(b);
       }
-      at(now, this::arrive);
+      schedule(now, this::sendRequest);
     }
 
-    void at(long when, LongConsumer what) {
-      queue.add(new Due(when, order++, what));
+    void schedule(long when, LongConsumer task) {
+      queue.add(new ScheduledTask(when, order++, task));
     }
 
     /** Replaces an instance's engine by a new one, which knows only the endpoint list. */
-    void restart(int instance) {
+    void restartInstance(int instance) {
       incarnations[instance]++;
       engines[instance] =
           new LoadBalancingEngine(settings(instance, instances, quota), random.nextLong());
-      handle(instance, new EndpointListUpdate(UpdateKind.CACHED, List.copyOf(list)));
+      handle(instance, new EndpointListUpdate(UpdateKind.CACHED, List.copyOf(endpointList)));
     }
 
     void handle(int instance, Event event) {
@@ -164,7 +166,7 @@
       int incarnation = incarnations[instance];
       for (Action action : actions) {
         if (action instanceof SetTimer timer) {
-          at(
+          schedule(
               Math.max(now, timer.atNanos()),
               when -> {
                 if (incarnations[instance] == incarnation) {
@@ -174,7 +176,7 @@
         } else if (action instanceof StartAttempt start) {
           attempts.computeIfAbsent(start.endpointId(), u -> new ArrayList<>()).add(now);
           long startedAt = now;
-          at(
+          schedule(
               now + LATENCY,
               when -> {
                 if (incarnations[instance] == incarnation) {
@@ -194,7 +196,7 @@
       }
     }
 
-    void arrive(long when) {
+    void sendRequest(long when) {
       double point = random.nextDouble();
       int instance = 0;
       while (instance < instances - 1 && point > shares[instance]) {
@@ -202,29 +204,35 @@
       }
       // A few keys get much of the traffic.
       String key = "k" + (int) Math.pow(1000, random.nextDouble());
-      handle(instance, new RequestArrived("r" + ids++, "c", "t", key, now + 2 * SECOND, 0, false));
-      at(
-          now + (long) (-Math.log(1 - random.nextDouble()) * SECOND / (quota * ENDPOINTS * asked)),
-          this::arrive);
+      handle(
+          instance,
+          new RequestArrived("r" + requestCount++, "c", "t", key, now + 2 * SECOND, 0, false));
+      schedule(
+          now
+              + (long)
+                  (-Math.log(1 - random.nextDouble())
+                      * SECOND
+                      / (quota * ENDPOINTS * offeredFraction)),
+          this::sendRequest);
     }
 
-    void run(long nanos) {
+    void runFor(long nanos) {
       long end = now + nanos;
       while (queue.peek().at() <= end) {
-        Due due = queue.poll();
+        ScheduledTask due = queue.poll();
         now = due.at();
-        due.what().accept(now);
+        due.task().accept(now);
       }
       now = end;
     }
 
     /** Restarts the first endpoints of the list and notifies all instances. */
-    void start(int warming) {
+    void restartEndpoints(int warming) {
       for (int e = 0; e < warming; e++) {
-        list.set(e, new Endpoint(100 + e, "a", 0, EndpointState.READY, now, 1));
+        endpointList.set(e, new Endpoint(100 + e, "a", 0, EndpointState.READY, now, 1));
       }
       for (int b = 0; b < instances; b++) {
-        handle(b, new EndpointListUpdate(UpdateKind.FULL, List.copyOf(list)));
+        handle(b, new EndpointListUpdate(UpdateKind.FULL, List.copyOf(endpointList)));
       }
     }
 
@@ -239,22 +247,26 @@
               .toList();
       double worst = Double.NEGATIVE_INFINITY;
       for (int i = 0, j = 0; i < times.size(); i++) {
-        while (j < times.size() && times.get(j) < times.get(i) + WINDOW) {
+        while (j < times.size() && times.get(j) < times.get(i) + OVERLOAD_WINDOW) {
           j++;
         }
-        double part = Math.min(1, (times.get(i) - startedAt) / (double) SLOW_START);
+        double progress = Math.min(1, (times.get(i) - startedAt) / (double) SLOW_START);
         // The quota stands for the capacity of a warm endpoint.
         double budget =
-            MULTIPLE * (INITIAL_CAPACITY + (1 - INITIAL_CAPACITY) * part) * quota * WINDOW / SECOND;
+            OVERLOAD_MULTIPLE
+                * (INITIAL_CAPACITY + (1 - INITIAL_CAPACITY) * progress)
+                * quota
+                * OVERLOAD_WINDOW
+                / SECOND;
         worst = Math.max(worst, j - i - (budget + 2 * Math.sqrt(budget) + 2));
       }
       return worst;
     }
   }
 
-  private static Fleet afterWarmUp(int instances, double quota, double asked, long seed) {
-    Fleet fleet = new Fleet(instances, quota, asked, seed);
-    fleet.run(15 * SECOND);
+  private static Fleet afterWarmUp(int instances, double quota, double offeredFraction, long seed) {
+    Fleet fleet = new Fleet(instances, quota, offeredFraction, seed);
+    fleet.runFor(15 * SECOND);
     return fleet;
   }
 
@@ -262,9 +274,9 @@
    * Asserts that the attempts at each warming endpoint stay within its budget, and that the warming
    * endpoints get some.
    */
-  private static void assertWithin(Fleet fleet, int warming, long startedAt, String what) {
+  private static void assertWithin(Fleet fleet, int warming, long startedAt, String description) {
     String message =
-        what + ", " + fleet.instances + " instances, " + fleet.quota + " a second for each";
+        description + ", " + fleet.instances + " instances, " + fleet.quota + " a second for each";
     long attempts = 0;
     for (int e = 0; e < warming; e++) {
       double over = fleet.excess(e, startedAt);
@@ -274,10 +286,11 @@
               .filter(t -> t >= startedAt)
               .count();
     }
-    double used = attempts / (warming * fleet.quota * ASKED * (fleet.now - startedAt) / SECOND);
+    double used =
+        attempts / (warming * fleet.quota * OFFERED_FRACTION * (fleet.now - startedAt) / SECOND);
     assertTrue(
-        used >= LEAST_USED,
-        message + ": attempts as a fraction of those at warm endpoints: " + used);
+        used >= MIN_USED_FRACTION,
+        message + ": attempts at them " + used + " of those at warm ones");
   }
 
   @ParameterizedTest
@@ -287,12 +300,12 @@
   })
   void attemptsOfAllInstancesStayWithinTheBudgets(int instances, int warming) {
     for (double quota : new double[] {1.5, 4, 12}) {
-      for (double asked : new double[] {ASKED, SURGE}) {
-        Fleet fleet = afterWarmUp(instances, quota, asked, 1);
+      for (double offeredFraction : new double[] {OFFERED_FRACTION, SURGE_FRACTION}) {
+        Fleet fleet = afterWarmUp(instances, quota, offeredFraction, 1);
         long at = fleet.now;
-        fleet.start(warming);
-        fleet.run(SLOW_START);
-        assertWithin(fleet, warming, at, warming + " warming, asked " + asked);
+        fleet.restartEndpoints(warming);
+        fleet.runFor(SLOW_START);
+        assertWithin(fleet, warming, at, warming + " warming, asked " + offeredFraction);
       }
     }
   }
@@ -303,14 +316,14 @@
    */
   @ParameterizedTest
   @ValueSource(ints = {1, 4, 30, 120})
-  void aSurgeAfterThinTrafficStaysWithinTheBudgets(int instances) {
-    Fleet fleet = afterWarmUp(instances, 12, ASKED, 2);
-    fleet.asked = ASKED / 10;
+  void aSurgeAfterLightTrafficStaysWithinTheBudgets(int instances) {
+    Fleet fleet = afterWarmUp(instances, 12, OFFERED_FRACTION, 2);
+    fleet.offeredFraction = OFFERED_FRACTION / 10;
     long at = fleet.now;
-    fleet.start(4);
-    fleet.run(SLOW_START / 3);
-    fleet.asked = SURGE;
-    fleet.run(SLOW_START - SLOW_START / 3);
+    fleet.restartEndpoints(4);
+    fleet.runFor(SLOW_START / 3);
+    fleet.offeredFraction = SURGE_FRACTION;
+    fleet.runFor(SLOW_START - SLOW_START / 3);
     assertWithin(fleet, 4, at, "a surge");
   }
 
@@ -320,17 +333,17 @@
    */
   @ParameterizedTest
   @CsvSource({"1,4", "4,4", "30,4", "120,4", "1,40", "4,40", "30,40", "120,40"})
-  void restartsOfInstancesDoNotAddUp(int instances, int warming) {
-    Fleet fleet = afterWarmUp(instances, 12, ASKED, 3);
+  void restartsOfInstancesStayWithinTheBudgets(int instances, int warming) {
+    Fleet fleet = afterWarmUp(instances, 12, OFFERED_FRACTION, 3);
     long at = fleet.now;
-    fleet.start(warming);
+    fleet.restartEndpoints(warming);
     for (int round = 0; round < 60; round++) {
       for (int b = 0; b < instances; b++) {
         if (round == 30 || (b + round) % 10 == 0) {
-          fleet.restart(b);
+          fleet.restartInstance(b);
         }
       }
-      fleet.run(SLOW_START / 60);
+      fleet.runFor(SLOW_START / 60);
     }
     assertWithin(fleet, warming, at, "restarts");
   }
--- a/src/test/java/loadbalancer/decision/SlowStartTest.java
+++ b/src/test/java/loadbalancer/decision/SlowStartTest.java
@@ -2,7 +2,7 @@
 
 import static loadbalancer.decision.EngineDriver.MS;
 import static loadbalancer.decision.EngineDriver.attemptedEndpoint;
-import static loadbalancer.decision.EngineDriver.idempotentOnly;
+import static loadbalancer.decision.EngineDriver.idempotentSettings;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.Arrays;
@@ -18,23 +18,23 @@
 class SlowStartTest {
 
   @Test
-  void warmingEndpointGetsItsPartOfTheTraffic() {
-    EngineDriver driver = new EngineDriver(idempotentOnly()).withEndpoints(9);
+  void warmingEndpointGetsItsShareOfTheTraffic() {
+    EngineDriver driver = new EngineDriver(idempotentSettings()).withEndpoints(9);
     for (int i = 0; i < 2000; i++) {
       driver.serve("k" + i, MS);
     }
     driver.updateEndpoints(
         UpdateKind.DELTA, new Endpoint(500, "a", 0, EndpointState.READY, driver.now, 1));
     int attempts = 0;
-    int total = 0;
+    int requests = 0;
     for (int i = 0; i < 3000; i++) {
       attempts += driver.serve("k" + i, MS) == 500 ? 1 : 0;
-      total++;
+      requests++;
     }
-    double part = attempts / (total / 10.0);
+    double fraction = attempts / (requests / 10.0);
     assertTrue(
-        part > 0.1 && part < 0.3 + 0.7 * 3 / 8 + 0.1,
-        "attempts at it as a fraction of another endpoint's: " + part);
+        fraction > 0.1 && fraction < 0.3 + 0.7 * 3 / 8 + 0.1,
+        "attempts at it as a fraction of another endpoint's: " + fraction);
   }
 
   /**
@@ -43,39 +43,39 @@
    */
   @Test
   void spreadsTheFirstAttemptsOfManyInstancesOverTime() {
-    Settings one = idempotentOnly();
-    Settings many =
+    Settings base = idempotentSettings();
+    Settings settings =
         new Settings(
             0,
             20,
-            one.zone(),
-            one.classes(),
-            one.tenants(),
-            one.limits(),
-            one.contract(),
-            one.prices(),
+            base.zone(),
+            base.classes(),
+            base.tenants(),
+            base.limits(),
+            base.contract(),
+            base.prices(),
             false,
-            one.weightKind(),
-            one.overQuotaWeight(),
-            one.keyAffinity(),
-            one.tickNanos());
+            base.weightKind(),
+            base.overQuotaWeight(),
+            base.keyAffinity(),
+            base.tickNanos());
     int[] attempts = new int[4];
     for (int instance = 0; instance < 20; instance++) {
-      EngineDriver driver = new EngineDriver(many, instance).withEndpoints(10);
+      EngineDriver driver = new EngineDriver(settings, instance).withEndpoints(10);
       for (int i = 0; i < 420; i++) {
         if (i == 400) {
           driver.updateEndpoints(
               UpdateKind.DELTA, new Endpoint(500, "a", 0, EndpointState.READY, driver.now, 1));
         }
-        boolean warming = driver.serve("k" + instance + i, MS) == 500;
-        attempts[Math.max(0, i / 5 - 80)] += warming ? 1 : 0;
+        boolean isAtWarmingEndpoint = driver.serve("k" + instance + i, MS) == 500;
+        attempts[Math.max(0, i / 5 - 80)] += isAtWarmingEndpoint ? 1 : 0;
         driver.advance(99 * MS);
       }
     }
     // In half a second, the instances get 100 requests: about 9 for each of the eleven endpoints,
     // and 3 to 6 for a warming one.
     String message =
-        "attempts at a warming endpoint in each of its first four half-seconds: "
+        "attempts at a warming endpoint in each of its first four half seconds: "
             + Arrays.toString(attempts);
     assertTrue(Arrays.stream(attempts).sum() >= 5, message);
     assertTrue(Arrays.stream(attempts).max().getAsInt() <= 10, message);
@@ -86,8 +86,8 @@
    * must not cost it its keys. Its slow-start budget already limits its load.
    */
   @Test
-  void warmingEndpointRetainsItsKeysThoughItIsSlow() {
-    EngineDriver driver = new EngineDriver(idempotentOnly()).withEndpoints(5);
+  void warmingEndpointRetainsItsKeysAlthoughItIsSlow() {
+    EngineDriver driver = new EngineDriver(idempotentSettings()).withEndpoints(5);
     for (int i = 0; i < 1000; i++) {
       driver.serve("k" + i, 10 * MS);
     }
@@ -108,18 +108,20 @@
 
   /** With as many requests at once as the others get, it would be busy for seconds. */
   @Test
-  void warmingEndpointHasItsPartOfTheLoadBound() {
-    EngineDriver driver = new EngineDriver(idempotentOnly()).withEndpoints(5);
+  void warmingEndpointHasAReducedLoadBound() {
+    EngineDriver driver = new EngineDriver(idempotentSettings()).withEndpoints(5);
     for (int i = 0; i < 600; i++) {
       driver.request(driver.nextRequestId(), "c", "k" + i);
-      driver.completeFor(5 * MS, AttemptStatus.SUCCESS, 100 * MS);
+      driver.advanceEndingAttempts(5 * MS, AttemptStatus.SUCCESS, 100 * MS);
     }
     driver.updateEndpoints(
         UpdateKind.DELTA, new Endpoint(200, "a", 0, EndpointState.READY, driver.now, 1));
-    long most = 0;
+    long maxInFlight = 0;
     for (int i = 0; i < 400; i++) {
       driver.request(driver.nextRequestId(), "c", "n" + i);
-      most = Math.max(most, driver.inFlight.stream().filter(s -> s.endpointId() == 200).count());
+      maxInFlight =
+          Math.max(
+              maxInFlight, driver.inFlight.stream().filter(s -> s.endpointId() == 200).count());
       driver.advance(MS);
       for (EngineDriver.InFlightAttempt attempt : List.copyOf(driver.inFlight)) {
         if (attempt.endpointId() != 200 && driver.now - attempt.startedAt() >= 40 * MS) {
@@ -128,7 +130,7 @@
       }
     }
     assertTrue(
-        most >= 1 && most <= 4,
-        "in flight at a capacity fraction of 0.3, while another endpoint has 8: " + most);
+        maxInFlight >= 1 && maxInFlight <= 4,
+        "in flight at a capacity fraction of 0.3, while another endpoint has 8: " + maxInFlight);
   }
 }
--- a/src/test/java/loadbalancer/decision/TenantQuotasTest.java
+++ b/src/test/java/loadbalancer/decision/TenantQuotasTest.java
@@ -20,7 +20,7 @@
    * Returns the number of rejections of one tenant. Each tenant has a quota of one request a
    * second, and each of the given ones sends ten a second.
    */
-  private static int rejectionsOf(String tenant, String... asking) {
+  private static int rejectionsOf(String tenant, String... activeTenants) {
     EngineDriver driver =
         new EngineDriver(
                 settings(
@@ -29,16 +29,16 @@
                     requestClass("c", Idempotence.IDEMPOTENT, DedupScope.ALL)))
             .withEndpoints(5);
     for (int i = 0; i < 300; i++) {
-      for (String t : asking) {
+      for (String t : activeTenants) {
         driver.request(t + driver.nextRequestId(), "c", t, "k" + i % 50, 0);
       }
-      driver.completeFor(100 * MS, AttemptStatus.SUCCESS, 140 * MS);
+      driver.advanceEndingAttempts(100 * MS, AttemptStatus.SUCCESS, 140 * MS);
     }
     return driver.rejections.getOrDefault(tenant, 0);
   }
 
   @Test
-  void rejectsWhatExceedsAQuotaFirst() {
+  void rejectsRequestsOverAQuotaFirst() {
     EngineDriver driver =
         new EngineDriver(
                 settings(
@@ -50,7 +50,7 @@
       for (String tenant : List.of("big", "small")) {
         driver.request(tenant + driver.nextRequestId(), "c", tenant, "k" + i % 50, 0);
       }
-      driver.completeFor(20 * MS, AttemptStatus.SUCCESS, 140 * MS);
+      driver.advanceEndingAttempts(20 * MS, AttemptStatus.SUCCESS, 140 * MS);
     }
     assertTrue(
         driver.rejections.getOrDefault("b", 0) > 300,
@@ -71,11 +71,11 @@
     for (int i = 0; i < 200; i++) {
       // This latency is too high for requests over quota, but healthy for those within.
       driver.request(driver.nextRequestId(), "c", "k" + i % 50);
-      driver.completeFor(190 * MS, AttemptStatus.SUCCESS, 180 * MS);
+      driver.advanceEndingAttempts(190 * MS, AttemptStatus.SUCCESS, 180 * MS);
     }
     for (int i = 0; i < 8; i++) {
       driver.request("t" + driver.nextRequestId(), "c", "t", "k" + i, 0);
-      driver.completeFor(190 * MS, AttemptStatus.SUCCESS, 180 * MS);
+      driver.advanceEndingAttempts(190 * MS, AttemptStatus.SUCCESS, 180 * MS);
     }
     assertEquals(0, driver.rejections.getOrDefault("t", 0));
   }
--- a/src/test/java/loadbalancer/decision/WindowsTest.java
+++ b/src/test/java/loadbalancer/decision/WindowsTest.java
@@ -1,7 +1,7 @@
 package loadbalancer.decision;
 
 import static loadbalancer.decision.EngineDriver.MS;
-import static loadbalancer.decision.EngineDriver.idempotentOnly;
+import static loadbalancer.decision.EngineDriver.idempotentSettings;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -31,10 +31,10 @@
   /** New keys keep arriving, so the memory would grow without eviction. */
   @Test
   void forgetsKeysThatAreIdleForAWindow() {
-    EngineDriver driver = new EngineDriver(idempotentOnly()).withEndpoints(3);
+    EngineDriver driver = new EngineDriver(idempotentSettings()).withEndpoints(3);
     for (int i = 0; i < 2000; i++) {
       driver.request(driver.nextRequestId(), "c", "k" + i);
-      driver.completeFor(10 * MS, AttemptStatus.SUCCESS, 10 * MS);
+      driver.advanceEndingAttempts(10 * MS, AttemptStatus.SUCCESS, 10 * MS);
     }
     int kept = driver.engine.lifecycle.classifier.windows.size();
     assertTrue(
