--- a/src/main/java/loadbalancer/decision/BoundedLoadBalancer.java
+++ b/src/main/java/loadbalancer/decision/BoundedLoadBalancer.java
@@ -10,9 +10,15 @@
 final class BoundedLoadBalancer {
 
   private static final double BOUND_SLACK = 0.5; // fraction by which a bound exceeds the mean load
-  private static final int KEY_SPREAD = 2; // endpoints a key tries, plus this multiple of its share
+
+  // A key that has the share s of all requests tries KEY_SPREAD * (1 + s * ready endpoints)
+  // endpoints
+  // of the zone.
+  private static final int KEY_SPREAD = 2;
   private static final double SLOWNESS_POWER = 3; // an endpoint keeps 1 / slowness^3 of its keys
-  private static final double MAX_ZONE_SLOWNESS = 3; // above it, the zone is overloaded
+
+  // If even the fastest eligible endpoint of the zone is slower, the zone is overloaded.
+  private static final double MAX_ZONE_SLOWNESS = 3;
 
   // With a bound of 1, one of many instances, which has less than one request in flight at each
   // endpoint, would queue half of its requests.
--- a/src/main/java/loadbalancer/decision/OutcomeRecorder.java
+++ b/src/main/java/loadbalancer/decision/OutcomeRecorder.java
@@ -8,7 +8,7 @@
 record OutcomeRecorder(
     DecisionContext context, AdaptiveRateLimiter limiter, OutlierDetector outliers) {
 
-  private static final double MAX_LATENCY = Double.MAX_VALUE; // for attempts rejected or late
+  private static final double MAX_LATENCY = Double.MAX_VALUE; // of attempts rejected or late
 
   void record(InFlightRequest request, Attempt attempt, Event.AttemptEnded end) {
     AttemptStatus status = end.status();
--- a/src/main/java/loadbalancer/decision/RequestClassifier.java
+++ b/src/main/java/loadbalancer/decision/RequestClassifier.java
@@ -8,8 +8,8 @@
 /** Classifies arriving requests. Owns the keyed windows, the quotas and the mean work hint. */
 final class RequestClassifier {
 
-  private static final double MEAN_HINT_SMOOTHING = 0.005; // weight of one hint: some 200 count
-  private static final double MAX_HINT_MULTIPLE = 20; // a huge hint must not make others light
+  private static final double MEAN_HINT_SMOOTHING = 0.005; // weight of one hint: a mean of some 200
+  private static final double MAX_HINT_MULTIPLE = 20; // of the mean hint: limits a huge hint
   private static final double MAX_LOAD = 4; // mean requests; the minimum is the inverse
 
   final KeyedWindows windows;
--- a/src/main/java/loadbalancer/decision/RequestLifecycle.java
+++ b/src/main/java/loadbalancer/decision/RequestLifecycle.java
@@ -16,7 +16,9 @@
   private static final double MAX_QUEUE_WAIT_FRACTION = 0.3; // of the objective: reject early
   private static final double RETRY_AFTER_FRACTION = 0.1; // of the objective, for a retry to meet
   private static final int MAX_FAILED_QUEUE_TRIES = 4; // bounds the work if all endpoints are full
-  private static final int DEADLINE_MARGIN_SWEEPS = 2; // no attempts so close to the deadline
+
+  // No attempt starts this shortly before the deadline, when the client leaves.
+  private static final int DEADLINE_MARGIN_SWEEPS = 2;
 
   // Requests without a final answer or with an attempt in flight, by id.
   final Map<String, InFlightRequest> inFlight = new LinkedHashMap<>();
--- a/src/main/java/loadbalancer/decision/TrackedEndpoint.java
+++ b/src/main/java/loadbalancer/decision/TrackedEndpoint.java
@@ -13,7 +13,7 @@
   int attemptsInFlight;
   double load; // of the attempts in flight, in mean requests
   HashRing.Member ringMember; // null while it is not on the ring
-  long lastActivityAt; // last end of an attempt, or start of the only one
+  long lastActivityAt; // last end of an attempt, or start of one with no other in flight
 
   // OutcomeRecorder
   final SlidingWindow responses; // successful ones; latencies in nanoseconds times load
@@ -29,7 +29,7 @@
   long slownessAt;
 
   final TokenBucket slowStartBudget = new TokenBucket(); // SlowStart
-  long lastPickNumber; // BoundedLoadBalancer: the last pick that considered this
+  long lastPickNumber; // BoundedLoadBalancer: the last pick that considered it
 
   TrackedEndpoint(long id, DecisionContext context) {
     this.id = id;
--- a/src/test/java/loadbalancer/decision/OutlierDetectorTest.java
+++ b/src/test/java/loadbalancer/decision/OutlierDetectorTest.java
@@ -33,8 +33,8 @@
   }
 
   /**
-   * An endpoint that fails every other attempt never fails three times in a row, so it is not
-   * ejected.
+   * An endpoint that gets about one attempt a second and fails every other one never fails three
+   * times in a row, so it is not ejected.
    */
   @Test
   void avoidsUnreliableEndpointsForNonIdempotentRequests() {
