--- a/src/main/java/loadbalancer/decision/EndpointRegistry.java
+++ b/src/main/java/loadbalancer/decision/EndpointRegistry.java
@@ -14,23 +14,23 @@
 import loadbalancer.decision.api.Event;
 import loadbalancer.decision.api.UpdateKind;
 
-/** Follows the endpoint list. Owns the endpoints, their loads, and the ring of the ready ones. */
+/** Tracks the endpoint list. Owns the endpoints, their loads, and the ring of the ready ones. */
 final class EndpointRegistry {
 
-  private static final int POINTS = 100; // by median weight: keys spread within some 10%
-  private static final double MAX_WEIGHT = 4; // median weights; the least is the inverse
+  private static final int POINTS_PER_ENDPOINT = 100; // at median weight: keys vary by some 10%
+  private static final double MAX_WEIGHT = 4; // median weights; the minimum is the inverse
 
-  // Read by other parts, written here alone.
-  TrackedEndpoint[] ready = {}; // by id: the members of the ring
+  // Read by other components, written only here.
+  TrackedEndpoint[] ready = {}; // the members of the ring, sorted by id
   final HashRing ring = new HashRing();
-  double readyLoad; // in flight at the ready endpoints, in mean requests
+  double readyLoad; // of attempts in flight at ready endpoints, in mean requests
   final OutlierDetector outliers;
   final SlowStart slowStart;
 
   private final DecisionContext context;
   private final Map<Long, TrackedEndpoint> endpoints = new LinkedHashMap<>();
-  private final Set<TrackedEndpoint> departing = new LinkedHashSet<>(); // gone with some in flight
-  private final List<TrackedEndpoint> bySlot = new ArrayList<>(); // null at slots that are free
+  private final Set<TrackedEndpoint> departing = new LinkedHashSet<>(); // gone, not idle yet
+  private final List<TrackedEndpoint> bySlot = new ArrayList<>(); // null at free slots
   private double medianWeight; // 0 before the first ready endpoint
 
   EndpointRegistry(DecisionContext context) {
@@ -46,11 +46,11 @@
     if (update.kind() != UpdateKind.DELTA) {
       // An endpoint that is absent from a complete list is gone.
       for (TrackedEndpoint endpoint : endpoints.values()) {
-        entries.putIfAbsent(endpoint.id, endpoint.listing.withState(EndpointState.GONE));
+        entries.putIfAbsent(endpoint.id, endpoint.listEntry.withState(EndpointState.GONE));
       }
     }
     List<TrackedEndpoint> updated = entries.values().stream().map(this::track).toList();
-    departing.removeIf(this::forgetIfOver);
+    departing.removeIf(this::removeIfDeparted);
     updateRing(updated);
   }
 
@@ -62,40 +62,43 @@
       outliers.onNewIncarnation(endpoint);
       slowStart.onNewIncarnation(endpoint);
     } else if (entry.startedNanos() > 0) {
-      // The same one, of which it has become known that it is older.
+      // The same incarnation, which turned out to be older.
       endpoint.startedAt = entry.startedNanos();
     }
-    endpoint.listing = entry;
+    endpoint.listEntry = entry;
     if (entry.state() == EndpointState.GONE) {
       departing.add(endpoint);
     }
     return endpoint;
   }
 
-  /** Whether an endpoint need not be kept as departing any more: it is back, or it is forgotten. */
-  private boolean forgetIfOver(TrackedEndpoint endpoint) {
-    boolean back = endpoint.listing.state() != EndpointState.GONE;
-    if (!back && endpoint.inFlight == 0) {
+  /**
+   * Returns whether an endpoint ceases to be departing: it is listed again, or it has nothing in
+   * flight. In the latter case it is removed from the registry.
+   */
+  private boolean removeIfDeparted(TrackedEndpoint endpoint) {
+    boolean isListedAgain = endpoint.listEntry.state() != EndpointState.GONE;
+    if (!isListedAgain && endpoint.attemptsInFlight == 0) {
       endpoints.remove(endpoint.id);
     }
-    return back || endpoint.inFlight == 0;
+    return isListedAgain || endpoint.attemptsInFlight == 0;
   }
 
   private void updateRing(List<TrackedEndpoint> updated) {
     List<TrackedEndpoint> joining = new ArrayList<>();
     List<HashRing.Member> leaving = new ArrayList<>();
     for (TrackedEndpoint endpoint : updated) {
-      boolean onRing = endpoint.ringMember != null;
-      if (endpoint.isReady() && !onRing) {
+      boolean isOnRing = endpoint.ringMember != null;
+      if (endpoint.isReady() && !isOnRing) {
         joining.add(endpoint);
-      } else if (!endpoint.isReady() && onRing) {
+      } else if (!endpoint.isReady() && isOnRing) {
         leaving.add(endpoint.ringMember);
         bySlot.set(endpoint.ringMember.slot(), null);
         endpoint.ringMember = null;
       }
     }
     if (joining.isEmpty() && leaving.isEmpty()) {
-      return; // As in most updates.
+      return; // Most updates do not change the ring.
     }
     TrackedEndpoint[] staying =
         Arrays.stream(ready).filter(TrackedEndpoint::isReady).toArray(TrackedEndpoint[]::new);
@@ -111,8 +114,8 @@
 
   private void setMedianWeight() {
     if (medianWeight == 0 && ready.length > 0) {
-      // Never changed again, so that an update moves the keys of the endpoints it changes alone.
-      double[] weights = Arrays.stream(ready).mapToDouble(e -> e.listing.weight()).toArray();
+      // Set only once, so that an update moves only the keys of the endpoints that it changes.
+      double[] weights = Arrays.stream(ready).mapToDouble(e -> e.listEntry.weight()).toArray();
       Arrays.sort(weights);
       medianWeight = weights[ready.length / 2];
     }
@@ -122,7 +125,7 @@
       List<HashRing.Member> leaving, List<TrackedEndpoint> joining, TrackedEndpoint[] staying) {
     List<HashRing.Member> members = new ArrayList<>();
     for (TrackedEndpoint endpoint : staying) {
-      if (points(endpoint) != endpoint.ringMember.points()) {
+      if (pointCount(endpoint) != endpoint.ringMember.points()) {
         leaving.add(endpoint.ringMember);
         members.add(joinRing(endpoint, endpoint.ringMember.slot()));
       }
@@ -130,12 +133,12 @@
     for (TrackedEndpoint endpoint : joining) {
       members.add(joinRing(endpoint, freeSlot()));
     }
-    ring.change(leaving, members);
+    ring.update(leaving, members);
   }
 
   private HashRing.Member joinRing(TrackedEndpoint endpoint, int slot) {
     bySlot.set(slot, endpoint);
-    endpoint.ringMember = new HashRing.Member(slot, endpoint.id, points(endpoint));
+    endpoint.ringMember = new HashRing.Member(slot, endpoint.id, pointCount(endpoint));
     return endpoint.ringMember;
   }
 
@@ -148,30 +151,32 @@
     return bySlot.size() - 1;
   }
 
-  /** The member of the ring that has a slot. */
-  TrackedEndpoint member(int slot) {
+  /** Returns the member of the ring that has a slot. */
+  TrackedEndpoint endpointAt(int slot) {
     return bySlot.get(slot);
   }
 
-  private int points(TrackedEndpoint endpoint) {
-    boolean weighted = context.settings.weightKind().isSize();
-    double weight = weighted && medianWeight > 0 ? endpoint.listing.weight() / medianWeight : 1;
-    return (int) Math.round(POINTS * Math.min(MAX_WEIGHT, Math.max(1 / MAX_WEIGHT, weight)));
+  private int pointCount(TrackedEndpoint endpoint) {
+    boolean isWeighted = context.settings.weightKind().isSizeBased();
+    double weight = isWeighted && medianWeight > 0 ? endpoint.listEntry.weight() / medianWeight : 1;
+    return (int)
+        Math.round(POINTS_PER_ENDPOINT * Math.min(MAX_WEIGHT, Math.max(1 / MAX_WEIGHT, weight)));
   }
 
   void onAttemptStarted(TrackedEndpoint endpoint, double load) {
-    endpoint.lastHeardAt = endpoint.inFlight == 0 ? context.now : endpoint.lastHeardAt;
-    endpoint.inFlight++;
+    endpoint.lastActivityAt =
+        endpoint.attemptsInFlight == 0 ? context.now : endpoint.lastActivityAt;
+    endpoint.attemptsInFlight++;
     endpoint.load += load;
     readyLoad += load;
     slowStart.onAttemptStarted(endpoint, ready.length);
   }
 
   void onAttemptEnded(TrackedEndpoint endpoint, double load) {
-    endpoint.inFlight--;
-    // Exactly 0 with nothing in flight, or rounding errors would add up.
-    endpoint.load = endpoint.inFlight == 0 ? 0 : endpoint.load - load;
-    endpoint.lastHeardAt = context.now;
+    endpoint.attemptsInFlight--;
+    // Reset to 0 when nothing is in flight, so that rounding errors do not accumulate.
+    endpoint.load = endpoint.attemptsInFlight == 0 ? 0 : endpoint.load - load;
+    endpoint.lastActivityAt = context.now;
     readyLoad -= endpoint.isReady() ? load : 0;
   }
 }
--- a/src/main/java/loadbalancer/decision/RequestClassifier.java
+++ b/src/main/java/loadbalancer/decision/RequestClassifier.java
@@ -5,18 +5,18 @@
 import loadbalancer.decision.api.Event;
 import loadbalancer.decision.api.RequestClass;
 
-/** Says what a request counts as. Owns the windows by key, the quotas and the mean work hint. */
+/** Classifies arriving requests. Owns the keyed windows, the quotas and the mean work hint. */
 final class RequestClassifier {
 
-  private static final double MEAN_STEP = 0.005; // of the mean hint: over some 200 requests
-  private static final double MAX_HINT = 20; // means: an absurd hint would make all others light
-  private static final double MAX_LOAD = 4; // mean requests; the least is the inverse
+  private static final double MEAN_HINT_SMOOTHING = 0.005; // weight of one hint: a mean of some 200
+  private static final double MAX_HINT_MULTIPLE = 20; // of the mean hint: limits a huge hint
+  private static final double MAX_LOAD = 4; // mean requests; the minimum is the inverse
 
   final KeyedWindows windows;
   private final DecisionContext context;
   private final TenantQuotas quotas;
   private final Map<String, RequestClass> classes = new HashMap<>();
-  private double meanHint; // nanoseconds; 0 before the first
+  private double meanHintNanos; // 0 before the first hint
 
   RequestClassifier(DecisionContext context) {
     this.context = context;
@@ -25,7 +25,11 @@
     context.settings.classes().forEach(type -> classes.put(type.name(), type));
   }
 
-  /** Counts a request against its quota; throws IllegalArgumentException on an unknown class. */
+  /**
+   * Classifies a request and counts it against its tenant's quota.
+   *
+   * @throws IllegalArgumentException if the settings have no such class
+   */
   InFlightRequest classify(Event.RequestArrived arrival) {
     RequestClass type = classes.get(arrival.className());
     if (type == null) {
@@ -33,22 +37,25 @@
     }
     InFlightRequest request = new InFlightRequest(arrival, type, context.now);
     request.hasQuota = quotas.hasQuota(arrival.tenant());
-    boolean over = request.hasQuota && quotas.exceeds(arrival.tenant());
-    request.overQuota = over;
-    request.priority = type.priorityWeight() * (over ? context.settings.overQuotaWeight() : 1);
-    String route = arrival.className() + ' ' + arrival.tenant() + (over ? " over" : "");
+    boolean isOverQuota = request.hasQuota && quotas.recordAndCheckExceeded(arrival.tenant());
+    request.isOverQuota = isOverQuota;
+    request.priority =
+        type.priorityWeight() * (isOverQuota ? context.settings.overQuotaWeight() : 1);
+    String route = arrival.className() + ' ' + arrival.tenant() + (isOverQuota ? " over" : "");
     request.keyWindow = windows.get(route + ' ' + arrival.affinityKey());
     request.routeWindow = windows.get(route);
-    request.load = arrival.workHintNanos() > 0 ? load(arrival.workHintNanos()) : 1;
+    request.load = arrival.workHintNanos() > 0 ? loadByHint(arrival.workHintNanos()) : 1;
     return request;
   }
 
-  // By the hint: a few heavy requests fill an endpoint that a count calls half empty.
-  private double load(long hint) {
-    meanHint +=
-        meanHint == 0
+  // Returns a request's load in mean requests. It depends on the work hint because a few heavy
+  // requests fill an endpoint that seems half empty by their number.
+  private double loadByHint(long hint) {
+    meanHintNanos +=
+        meanHintNanos == 0
             ? Math.min(hint, context.shortestObjectiveNanos)
-            : (Math.min((double) hint, MAX_HINT * meanHint) - meanHint) * MEAN_STEP;
-    return Math.min(MAX_LOAD, Math.max(1 / MAX_LOAD, hint / meanHint));
+            : (Math.min((double) hint, MAX_HINT_MULTIPLE * meanHintNanos) - meanHintNanos)
+                * MEAN_HINT_SMOOTHING;
+    return Math.min(MAX_LOAD, Math.max(1 / MAX_LOAD, hint / meanHintNanos));
   }
 }
--- a/src/test/java/loadbalancer/decision/OutlierDetectorTest.java
+++ b/src/test/java/loadbalancer/decision/OutlierDetectorTest.java
@@ -3,7 +3,7 @@
 import static loadbalancer.decision.EngineDriver.MS;
 import static loadbalancer.decision.EngineDriver.attemptedEndpoint;
 import static loadbalancer.decision.EngineDriver.contains;
-import static loadbalancer.decision.EngineDriver.idempotentOnly;
+import static loadbalancer.decision.EngineDriver.idempotentSettings;
 import static loadbalancer.decision.EngineDriver.requestClass;
 import static loadbalancer.decision.EngineDriver.settings;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -21,7 +21,7 @@
 import loadbalancer.decision.api.Idempotence;
 import org.junit.jupiter.api.Test;
 
-/** Ejected, silent, unreliable and slow endpoints. */
+/** Tests the detection of ejected, silent, unreliable and slow endpoints. */
 class OutlierDetectorTest {
 
   private static Map<String, Long> owners(EngineDriver driver, int keys) {
@@ -32,7 +32,10 @@
     return owners;
   }
 
-  /** Met once a second, such an endpoint never fails three times in a row. */
+  /**
+   * An endpoint that gets about one attempt a second and fails every other one never fails three
+   * times in a row, so it is not ejected.
+   */
   @Test
   void avoidsUnreliableEndpointsForNonIdempotentRequests() {
     EngineDriver driver =
@@ -43,32 +46,34 @@
                     requestClass("c", Idempotence.IDEMPOTENT, DedupScope.ALL),
                     requestClass("u", Idempotence.NON_IDEMPOTENT, DedupScope.ALL)))
             .withEndpoints(6);
-    int met = 0;
-    int lost = 0;
+    int attemptsAtUnreliable = 0;
+    int failedNonIdempotent = 0;
     for (int i = 0; i < 900; i++) {
-      boolean unsafe = i % 3 == 0;
+      boolean isNonIdempotent = i % 3 == 0;
       String id = driver.nextRequestId();
-      long to = attemptedEndpoint(driver.request(id, unsafe ? "u" : "c", "k" + i));
+      long to = attemptedEndpoint(driver.request(id, isNonIdempotent ? "u" : "c", "k" + i));
       driver.advance(5 * MS);
-      boolean fails = to == 103 && met++ % 2 == 0;
-      lost += fails && unsafe && i > 100 ? 1 : 0;
-      long again =
+      boolean isFailing = to == 103 && attemptsAtUnreliable++ % 2 == 0;
+      failedNonIdempotent += isFailing && isNonIdempotent && i > 100 ? 1 : 0;
+      long retryEndpoint =
           attemptedEndpoint(
               driver.endAttempt(
-                  id, to, fails ? AttemptStatus.ERROR : AttemptStatus.SUCCESS, 5 * MS));
-      if (again >= 0) {
-        driver.endAttempt(id, again, AttemptStatus.SUCCESS, 5 * MS);
+                  id, to, isFailing ? AttemptStatus.ERROR : AttemptStatus.SUCCESS, 5 * MS));
+      if (retryEndpoint >= 0) {
+        driver.endAttempt(id, retryEndpoint, AttemptStatus.SUCCESS, 5 * MS);
       }
       driver.advance(100 * MS);
     }
-    assertTrue(met > 20, "still met by requests that may be repeated: " + met);
-    assertEquals(0, lost, "publishes that failed there");
+    assertTrue(
+        attemptsAtUnreliable > 20,
+        "attempts at it by requests that may be repeated: " + attemptsAtUnreliable);
+    assertEquals(0, failedNonIdempotent, "non-idempotent attempts that failed at it");
   }
 
-  /** The endpoint froze, and nothing has timed out yet. */
+  /** An endpoint froze, and no attempt at it has timed out yet. */
   @Test
   void avoidsASilentEndpointAndHedgesItsRequest() {
-    EngineDriver driver = new EngineDriver(idempotentOnly()).withEndpoints(4);
+    EngineDriver driver = new EngineDriver(idempotentSettings()).withEndpoints(4);
     for (int i = 0; i < 400; i++) {
       driver.serve("k" + i % 40, 10 * MS);
     }
@@ -78,31 +83,32 @@
     List<Action> later = driver.advance(200 * MS);
     List<StartAttempt> hedges =
         later.stream().filter(a -> a instanceof StartAttempt).map(a -> (StartAttempt) a).toList();
-    assertEquals(1, hedges.size(), "one hedge");
+    assertEquals(1, hedges.size(), "hedges");
     assertEquals(id, hedges.get(0).requestId());
     assertNotEquals(frozen, hedges.get(0).endpointId());
     assertNotEquals(frozen, driver.serve("k1", 10 * MS));
     List<Action> end =
         driver.endAttempt(id, hedges.get(0).endpointId(), AttemptStatus.SUCCESS, 10 * MS);
-    assertTrue(contains(end, CancelAttempt.class), "the slower attempt is cancelled");
+    assertTrue(contains(end, CancelAttempt.class), "the slower attempt is not cancelled");
   }
 
-  /** One short response would make every heavier request a silence. */
+  /** If few quick responses set the mean gap, a heavier request would look like silence. */
   @Test
   void endpointsWithFewResponsesAreNotSilent() {
-    EngineDriver driver = new EngineDriver(idempotentOnly()).withEndpoints(4);
+    EngineDriver driver = new EngineDriver(idempotentSettings()).withEndpoints(4);
     for (int i = 0; i < 3; i++) {
       driver.serve("k1", 2 * MS);
     }
     driver.request(driver.nextRequestId(), "c", "k1");
     assertTrue(
-        driver.advance(300 * MS).stream().noneMatch(a -> a instanceof StartAttempt), "no hedge");
+        driver.advance(300 * MS).stream().noneMatch(a -> a instanceof StartAttempt),
+        "unexpected hedge");
   }
 
-  /** Keys leave an endpoint that hangs before the time-outs, which may come seconds later. */
+  /** Keys leave an endpoint that hangs before its attempts time out, which may be seconds later. */
   @Test
   void attemptPastItsObjectiveMakesItsEndpointSlow() {
-    EngineDriver driver = new EngineDriver(idempotentOnly()).withEndpoints(4);
+    EngineDriver driver = new EngineDriver(idempotentSettings()).withEndpoints(4);
     for (int i = 0; i < 100; i++) {
       driver.serve("k" + i, 20 * MS);
     }
@@ -116,38 +122,41 @@
     driver.advance(900 * MS);
     long kept = owners(driver, 100).values().stream().filter(u -> u == 100).count();
     long had = before.values().stream().filter(u -> u == 100).count();
-    assertTrue(kept < 0.7 * had, "keys kept while nothing has timed out: " + kept + " of " + had);
+    assertTrue(kept < 0.7 * had, "keys kept before any time-out: " + kept + " of " + had);
   }
 
-  /** An endpoint that fails fast looks idle otherwise. */
+  /** Without ejection, an endpoint that fails fast would look idle and attract requests. */
   @Test
   void ejectsAfterThreeFailuresInARowAndTriesAgain() {
-    EngineDriver driver = new EngineDriver(idempotentOnly()).withEndpoints(6);
+    EngineDriver driver = new EngineDriver(idempotentSettings()).withEndpoints(6);
     for (int i = 0; i < 200; i++) {
       driver.serve("k" + i, MS);
     }
     long bad = driver.serve("k0", MS);
-    int toBad = 0;
+    int failuresAtBad = 0;
     for (int i = 0; i < 100; i++) {
       String id = driver.nextRequestId();
       long to = attemptedEndpoint(driver.request(id, "c", "k0"));
       while (to == bad) {
-        toBad++;
+        failuresAtBad++;
         to = attemptedEndpoint(driver.endAttempt(id, bad, AttemptStatus.CONNECT_FAILED, MS));
       }
       driver.advance(MS);
       driver.endAttempt(id, to, AttemptStatus.SUCCESS, MS);
     }
-    assertEquals(3, toBad, "three failures eject");
+    assertEquals(3, failuresAtBad, "failures before the ejection");
     driver.advance(600 * MS);
-    assertEquals(bad, driver.serve("k0", MS), "a trial after the ejection");
-    assertEquals(bad, driver.serve("k0", MS), "back after it");
+    assertEquals(bad, driver.serve("k0", MS), "first attempt after the ejection");
+    assertEquals(bad, driver.serve("k0", MS), "second attempt after the ejection");
   }
 
-  /** No load bound shows it where an instance has under one request in flight at each. */
+  /**
+   * With less than one request in flight at each endpoint, no load bound shows that an endpoint is
+   * slow.
+   */
   @Test
   void slowEndpointRetainsPartOfItsKeysAndRegainsThem() {
-    EngineDriver driver = new EngineDriver(idempotentOnly()).withEndpoints(6);
+    EngineDriver driver = new EngineDriver(idempotentSettings()).withEndpoints(6);
     Map<String, Long> before = owners(driver, 300);
     for (int i = 0; i < 900; i++) {
       String id = driver.nextRequestId();
@@ -159,9 +168,9 @@
     }
     long kept = owners(driver, 300).entrySet().stream().filter(e -> e.getValue() == 100).count();
     long had = before.values().stream().filter(u -> u == 100).count();
-    assertTrue(kept > 0 && kept < 0.6 * had, "keys kept " + kept + " of " + had);
+    assertTrue(kept > 0 && kept < 0.6 * had, "keys kept: " + kept + " of " + had);
     driver.advance(60_000 * MS);
     long back = owners(driver, 300).values().stream().filter(u -> u == 100).count();
-    assertTrue(back > 0.9 * had, "back after a minute " + back + " of " + had);
+    assertTrue(back > 0.9 * had, "keys regained after a minute: " + back + " of " + had);
   }
 }
