--- a/src/main/java/loadbalancer/discovery/DiscoveryClient.java
+++ b/src/main/java/loadbalancer/discovery/DiscoveryClient.java
@@ -16,15 +16,15 @@
 
   /** The time for the first list of a watch at the local agent, in ms. */
   public static final long AGENT_FIRST_LIST_TIMEOUT_MILLIS =
-      DiscoveryTimeouts.AGENT_FIRST_LIST_MILLIS;
+      DiscoveryTimeouts.AGENT_FIRST_LIST_TIMEOUT_MILLIS;
 
   private static final Logger LOG = Logger.getLogger(DiscoveryClient.class.getName());
 
   private final Bootstrap bootstrap;
   private final LongSupplier revision;
   private final BiConsumer<UpdateKind, EndpointList> updates;
-  private final boolean pushed;
-  private final long firstByteMillis;
+  private final boolean isPushed;
+  private final long firstByteTimeoutMillis;
   private final DiscoveryStream.Listener streamListener = new StreamListener();
   private InetSocketAddress address;
 
@@ -32,21 +32,21 @@
   private DiscoveryStream currentWatch;
 
   /** Whether a watch is wanted, also while none stands because the last one failed. */
-  private boolean watchWanted;
+  private boolean isWatchEnabled;
 
   /** Whether the last call failed; limits the log to the changes. */
-  private boolean failing;
+  private boolean isFailing;
 
   /** Calls in a row that a time limit ended without a list. */
-  private int abandonedCalls;
+  private int consecutiveTimeouts;
 
   /**
    * A client that is idle until it is asked to watch or fetch.
    *
    * @param bootstrap connects to discovery; its group has one event loop
-   * @param pushed whether an agent on this machine pushes the list, rather than a service that is
+   * @param isPushed whether an agent on this machine pushes the list, rather than a service that is
    *     polled
-   * @param firstByteMillis the time from a request to the first byte of its response, in ms
+   * @param firstByteTimeoutMillis the time from a request to the first byte of its response, in ms
    * @param revision the version of the list that was last accepted
    * @param updates gets every list, as {@link UpdateKind#FULL} or {@link UpdateKind#DELTA}, and for
    *     every failed call an empty one as {@link UpdateKind#FAILED}
@@ -54,14 +54,14 @@
   public DiscoveryClient(
       Bootstrap bootstrap,
       InetSocketAddress address,
-      boolean pushed,
-      long firstByteMillis,
+      boolean isPushed,
+      long firstByteTimeoutMillis,
       LongSupplier revision,
       BiConsumer<UpdateKind, EndpointList> updates) {
     this.bootstrap = bootstrap;
     this.address = address;
-    this.pushed = pushed;
-    this.firstByteMillis = firstByteMillis;
+    this.isPushed = isPushed;
+    this.firstByteTimeoutMillis = firstByteTimeoutMillis;
     this.revision = revision;
     this.updates = updates;
   }
@@ -70,14 +70,14 @@
   public void changeAddress(InetSocketAddress newAddress) {
     if (!newAddress.equals(address)) {
       address = newAddress;
-      abandonedCalls = 0;
-      watch(watchWanted);
+      consecutiveTimeouts = 0;
+      watch(isWatchEnabled);
     }
   }
 
   @Override
   public void watch(boolean enabled) {
-    watchWanted = enabled;
+    isWatchEnabled = enabled;
     if (currentWatch != null) {
       currentWatch.stop();
       currentWatch = null;
@@ -91,14 +91,14 @@
 
   /** Watches again, if a watch is wanted and none stands. */
   public void resumeWatch() {
-    if (watchWanted && currentWatch == null) {
+    if (isWatchEnabled && currentWatch == null) {
       watch(true);
     }
   }
 
   /** Replaces the watch by another one, if one is wanted. */
   public void restartWatch() {
-    if (watchWanted) {
+    if (isWatchEnabled) {
       watch(true);
     }
   }
@@ -110,7 +110,8 @@
 
   private StreamLimits limits() {
     return new StreamLimits(
-        DiscoveryTimeouts.firstListMillis(pushed, abandonedCalls), firstByteMillis);
+        DiscoveryTimeouts.firstListTimeoutMillis(isPushed, consecutiveTimeouts),
+        firstByteTimeoutMillis);
   }
 
   /** Turns what the streams report into updates, and keeps account of failures. */
@@ -118,31 +119,31 @@
 
     @Override
     public void listReceived(EndpointList list) {
-      if (failing) {
+      if (isFailing) {
         LOG.info("discovery_recovered address=" + address);
-        failing = false;
+        isFailing = false;
       }
-      abandonedCalls = 0;
+      consecutiveTimeouts = 0;
       updates.accept(list.complete() ? UpdateKind.FULL : UpdateKind.DELTA, list);
     }
 
     @Override
     public void failed(DiscoveryStream stream, DiscoveryFailure failure, String detail) {
       if (failure.isTimeout() && !stream.hasReceivedList()) {
-        abandonedCalls++;
+        consecutiveTimeouts++;
       }
       if (currentWatch == stream) {
         currentWatch = null;
       }
-      if (!failing) {
-        LOG.warning("discovery_failed reason=\"" + failure.reason() + "\"" + logDetail(detail));
-        failing = true;
+      if (!isFailing) {
+        LOG.warning("discovery_failed reason=\"" + failure.reason() + "\"" + formatDetail(detail));
+        isFailing = true;
       }
       updates.accept(UpdateKind.FAILED, EndpointList.EMPTY);
     }
 
     /** One line, in which quotes end nothing before the end. */
-    private String logDetail(String detail) {
+    private String formatDetail(String detail) {
       if (detail == null) {
         return "";
       }
--- a/src/main/java/loadbalancer/discovery/DiscoveryStream.java
+++ b/src/main/java/loadbalancer/discovery/DiscoveryStream.java
@@ -63,7 +63,7 @@
   private final EndpointListFramer framer = new EndpointListFramer();
   private Channel channel;
   private Future<?> limitCheck;
-  private boolean ended;
+  private boolean hasEnded;
 
   private DiscoveryStream(
       Bootstrap bootstrap,
@@ -134,7 +134,7 @@
 
   /** Ends the call without a report. */
   void stop() {
-    ended = true;
+    hasEnded = true;
     if (channel != null) {
       limitCheck.cancel(false);
       channel.close();
@@ -147,19 +147,19 @@
   }
 
   private void fail(DiscoveryFailure failure, String detail) {
-    if (!ended) {
+    if (!hasEnded) {
       stop();
       listener.failed(this, failure, detail);
     }
   }
 
   private void checkLimits() {
-    if (limits.exceeded() == null) {
+    if (limits.exceededLimit() == null) {
       return;
     }
     // What has arrived may be unread because the event loop lagged.
     PendingReads.readNow(channel);
-    DiscoveryFailure exceeded = limits.exceeded();
+    DiscoveryFailure exceeded = limits.exceededLimit();
     if (exceeded != null) {
       fail(exceeded, null);
     }
@@ -194,7 +194,7 @@
   }
 
   private void listReceived(String text) {
-    if (ended) {
+    if (hasEnded) {
       return;
     }
     limits.listCompleted();
--- a/src/main/java/loadbalancer/discovery/DiscoveryTimeouts.java
+++ b/src/main/java/loadbalancer/discovery/DiscoveryTimeouts.java
@@ -15,36 +15,36 @@
    * limit is far below the deadline for updates, because a watch that died unnoticed may be
    * replaced by one that is dead as well.
    */
-  static final long SILENCE_MILLIS = 2800;
+  static final long SILENCE_TIMEOUT_MILLIS = 2800;
 
   /**
    * Where the list is pushed: the time for the first list of a watch. The agent on this machine
    * responds at once, so that a watch without a list by then was dead from its start.
    */
-  public static final long AGENT_FIRST_LIST_MILLIS = 750;
+  public static final long AGENT_FIRST_LIST_TIMEOUT_MILLIS = 750;
 
   /**
    * The part of a drain's grace that the agent's response may take to begin. What the agent has
    * applies from the moment on in which it gets it; a call that it passed over, while discovery was
    * down, has to be made again within that grace.
    */
-  private static final double AGENT_FIRST_BYTE_PART = 0.4;
+  private static final double AGENT_FIRST_BYTE_FRACTION = 0.4;
 
   /**
    * Where the list is polled: the time for the first list of a call, if the call before had one.
    * Calls wait in a queue there, so that the time doubles with every call that was abandoned: one
    * that was always abandoned as early would never get through a long queue.
    */
-  static final long POLL_FIRST_LIST_MILLIS = 1400;
+  static final long POLL_FIRST_LIST_TIMEOUT_MILLIS = 1400;
 
-  /** Enough for the time to reach {@link #SILENCE_MILLIS}, and too few for an overflow. */
+  /** Enough for the time to reach {@link #SILENCE_TIMEOUT_MILLIS}, and too few for an overflow. */
   private static final int MAX_DOUBLINGS = 10;
 
   /**
    * A list that began and is incomplete after so long was cut off. What follows would be read as
    * its rest.
    */
-  static final long COMPLETE_LIST_MILLIS = 1000;
+  static final long LIST_COMPLETION_TIMEOUT_MILLIS = 1000;
 
   /** How often a call checks its limits; each of them is exceeded by so much at most. */
   static final long CHECK_INTERVAL_MILLIS = 100;
@@ -59,8 +59,9 @@
    */
   public static long agentFirstByteTimeoutMillis(long drainGraceMillis) {
     return drainGraceMillis <= 0
-        ? AGENT_FIRST_LIST_MILLIS
-        : Math.min(AGENT_FIRST_LIST_MILLIS, (long) (drainGraceMillis * AGENT_FIRST_BYTE_PART));
+        ? AGENT_FIRST_LIST_TIMEOUT_MILLIS
+        : Math.min(
+            AGENT_FIRST_LIST_TIMEOUT_MILLIS, (long) (drainGraceMillis * AGENT_FIRST_BYTE_FRACTION));
   }
 
   /**
@@ -69,11 +70,11 @@
    * @param pushed whether the list is pushed by an agent on this machine
    * @param abandonedCalls calls in a row that were abandoned without a list
    */
-  static long firstListMillis(boolean pushed, int abandonedCalls) {
-    if (pushed) {
-      return AGENT_FIRST_LIST_MILLIS;
+  static long firstListTimeoutMillis(boolean isPushed, int consecutiveTimeouts) {
+    if (isPushed) {
+      return AGENT_FIRST_LIST_TIMEOUT_MILLIS;
     }
-    int doublings = Math.min(abandonedCalls, MAX_DOUBLINGS);
-    return Math.min(SILENCE_MILLIS, POLL_FIRST_LIST_MILLIS << doublings);
+    int doublings = Math.min(consecutiveTimeouts, MAX_DOUBLINGS);
+    return Math.min(SILENCE_TIMEOUT_MILLIS, POLL_FIRST_LIST_TIMEOUT_MILLIS << doublings);
   }
 }
--- a/src/main/java/loadbalancer/discovery/EndpointDirectory.java
+++ b/src/main/java/loadbalancer/discovery/EndpointDirectory.java
@@ -42,7 +42,7 @@
   /** Since when discovery has sent nothing but older versions, if {@link #isDiscoveryBehind}. */
   private long behindSinceNanos;
 
-  private boolean isBehind;
+  private boolean isDiscoveryBehind;
 
   /** When discovery last sent a list or changes; 0 if it has not yet. */
   private long lastUpdateNanos;
@@ -65,7 +65,7 @@
    * discovery is behind it.
    */
   public long revision() {
-    return isBehind ? 0 : revision;
+    return isDiscoveryBehind ? 0 : revision;
   }
 
   /**
@@ -73,7 +73,7 @@
    * has been behind for some seconds, so it has to be asked for that again.
    */
   public boolean isDiscoveryBehind() {
-    return isBehind;
+    return isDiscoveryBehind;
   }
 
   /** Where an endpoint listens; null for one that is not on the list. */
@@ -131,7 +131,7 @@
       endpoints.add(endpoint(id, listing, now));
     }
     lastUpdateNanos = kind == UpdateKind.CACHED ? lastUpdateNanos : now;
-    forgetDeparted(isDelta ? names(list) : List.copyOf(idsByName.keySet()));
+    removeDeparted(isDelta ? names(list) : List.copyOf(idsByName.keySet()));
     return new EndpointListUpdate(kind, endpoints);
   }
 
@@ -140,7 +140,7 @@
   }
 
   /** An endpoint that left gets the same id if it returns; until then nothing is stored for it. */
-  private void forgetDeparted(List<String> names) {
+  private void removeDeparted(List<String> names) {
     for (String name : names) {
       Long id = idsByName.get(name);
       if (id != null && !listingsById.containsKey(id)) {
@@ -151,11 +151,11 @@
   }
 
   private Listing put(long id, Member member, Listing previous) {
-    boolean restarted = previous != null && member.isOtherIncarnation(previous.member());
-    if (restarted) {
+    boolean hasRestarted = previous != null && member.isDifferentIncarnation(previous.member());
+    if (hasRestarted) {
       restartedEndpoints.add(id);
     }
-    boolean isNew = previous == null || restarted;
+    boolean isNew = previous == null || hasRestarted;
     Listing listing = new Listing(member, isNew ? lastUpdateNanos : previous.notBeforeNanos());
     if (member.state() == EndpointState.GONE) {
       listingsById.remove(id);
@@ -176,14 +176,14 @@
    * without which the endpoints are still served. A list without a version is never outdated.
    */
   private boolean isAcceptable(UpdateKind kind, EndpointList list, long now) {
-    boolean outdated = list.revision() > 0 && list.revision() < revision;
-    if (outdated && !isBehind) {
+    boolean isOutdated = list.revision() > 0 && list.revision() < revision;
+    if (isOutdated && !isDiscoveryBehind) {
       behindSinceNanos = now;
     }
-    isBehind = outdated && !(list.complete() && now - behindSinceNanos >= MAX_LAG_NANOS);
-    boolean empties =
+    isDiscoveryBehind = isOutdated && !(list.complete() && now - behindSinceNanos >= MAX_LAG_NANOS);
+    boolean wouldEmptyList =
         kind != UpdateKind.DELTA && list.members().isEmpty() && !listingsById.isEmpty();
-    return !isBehind && !empties;
+    return !isDiscoveryBehind && !wouldEmptyList;
   }
 
   /** The list as it was last accepted, for a decision engine that starts anew. */
--- a/src/main/java/loadbalancer/discovery/EndpointList.java
+++ b/src/main/java/loadbalancer/discovery/EndpointList.java
@@ -37,7 +37,7 @@
       long upSinceMillis) {
 
     /** Whether another one with the same name is another process, or the same one moved. */
-    boolean isOtherIncarnation(Member other) {
+    boolean isDifferentIncarnation(Member other) {
       return upSinceMillis != other.upSinceMillis || !address.equals(other.address);
     }
   }
--- a/src/main/java/loadbalancer/discovery/StreamLimits.java
+++ b/src/main/java/loadbalancer/discovery/StreamLimits.java
@@ -8,48 +8,48 @@
  */
 final class StreamLimits {
 
-  private final long firstListMillis;
-  private final long firstByteMillis;
-  private final long openedAtNanos = System.nanoTime();
-  private long receivedAtNanos = openedAtNanos;
+  private final long firstListTimeoutMillis;
+  private final long firstByteTimeoutMillis;
+  private final long openedNanos = System.nanoTime();
+  private long lastReceivedNanos = openedNanos;
   private boolean hasReceivedList;
 
   /** When the request was sent, while nothing has been received since; 0 else. */
-  private long awaitingSinceNanos;
+  private long awaitingResponseSinceNanos;
 
   private boolean isWithinList;
 
   /** When the list began that is incomplete, if {@link #isWithinList}. */
-  private long listBegunAtNanos;
+  private long listStartedNanos;
 
   /**
    * Limits that run from now on.
    *
-   * @param firstListMillis the time for the first list, in ms
-   * @param firstByteMillis the time from the request to the first byte of a response, in ms
+   * @param firstListTimeoutMillis the time for the first list, in ms
+   * @param firstByteTimeoutMillis the time from the request to the first byte of a response, in ms
    */
-  StreamLimits(long firstListMillis, long firstByteMillis) {
-    this.firstListMillis = firstListMillis;
-    this.firstByteMillis = firstByteMillis;
+  StreamLimits(long firstListTimeoutMillis, long firstByteTimeoutMillis) {
+    this.firstListTimeoutMillis = firstListTimeoutMillis;
+    this.firstByteTimeoutMillis = firstByteTimeoutMillis;
   }
 
   /** The request was sent. */
   void requestSent() {
-    awaitingSinceNanos = System.nanoTime();
+    awaitingResponseSinceNanos = System.nanoTime();
   }
 
   /** Something was received, be it an empty line. */
   void received() {
-    receivedAtNanos = System.nanoTime();
-    awaitingSinceNanos = 0;
+    lastReceivedNanos = System.nanoTime();
+    awaitingResponseSinceNanos = 0;
   }
 
   /** What was received last left a list incomplete, or it did not. */
-  void setWithinList(boolean within) {
-    if (within && !isWithinList) {
-      listBegunAtNanos = receivedAtNanos;
+  void setWithinList(boolean isWithin) {
+    if (isWithin && !isWithinList) {
+      listStartedNanos = lastReceivedNanos;
     }
-    isWithinList = within;
+    isWithinList = isWithin;
   }
 
   /** A list is complete. What has been received of the next one begins anew. */
@@ -68,26 +68,28 @@
   }
 
   /** The limit that is exceeded; null if none is. */
-  DiscoveryFailure exceeded() {
+  DiscoveryFailure exceededLimit() {
     if (isSilent()) {
       return DiscoveryFailure.SILENT;
     }
-    boolean overdue =
-        isWithinList && isOver(listBegunAtNanos, DiscoveryTimeouts.COMPLETE_LIST_MILLIS);
-    return overdue ? DiscoveryFailure.LIST_INCOMPLETE : null;
+    boolean isOverdue =
+        isWithinList
+            && hasElapsed(listStartedNanos, DiscoveryTimeouts.LIST_COMPLETION_TIMEOUT_MILLIS);
+    return isOverdue ? DiscoveryFailure.LIST_INCOMPLETE : null;
   }
 
   /** Before the first list, empty lines are no sign of life. */
   private boolean isSilent() {
-    if (awaitingSinceNanos != 0 && isOver(awaitingSinceNanos, firstByteMillis)) {
+    if (awaitingResponseSinceNanos != 0
+        && hasElapsed(awaitingResponseSinceNanos, firstByteTimeoutMillis)) {
       return true;
     }
     return hasReceivedList
-        ? isOver(receivedAtNanos, DiscoveryTimeouts.SILENCE_MILLIS)
-        : isOver(openedAtNanos, firstListMillis);
+        ? hasElapsed(lastReceivedNanos, DiscoveryTimeouts.SILENCE_TIMEOUT_MILLIS)
+        : hasElapsed(openedNanos, firstListTimeoutMillis);
   }
 
-  private static boolean isOver(long sinceNanos, long limitMillis) {
+  private static boolean hasElapsed(long sinceNanos, long limitMillis) {
     return System.nanoTime() - sinceNanos > TimeUnit.MILLISECONDS.toNanos(limitMillis);
   }
 }
--- a/src/main/java/loadbalancer/upstream/ConnectionPool.java
+++ b/src/main/java/loadbalancer/upstream/ConnectionPool.java
@@ -26,31 +26,31 @@
 public final class ConnectionPool {
 
   /** How often connections that have been idle for too long are closed, in milliseconds. */
-  private static final long SWEEP_MILLIS = 250;
+  private static final long SWEEP_INTERVAL_MILLIS = 250;
 
   /** Wait before a connection is tried again that this machine could not make. */
-  private static final long LOCAL_RETRY_MILLIS = 10;
+  private static final long LOCAL_RETRY_DELAY_MILLIS = 10;
 
   private final EventLoop loop;
   private final Bootstrap bootstrap;
   private final DescriptorBudget descriptors;
   private final IdleConnections idleConnections;
   private final long connectTimeoutNanos;
-  private final Set<UpstreamCall> connecting = new HashSet<>();
+  private final Set<UpstreamCall> connectingCalls = new HashSet<>();
 
   /**
    * Creates a pool that runs on the bootstrap's event loop.
    *
    * @param connectTimeoutNanos how long connecting may take
    * @param upstreamIdleNanos the time after which upstreams close idle connections
-   * @param ready whether the endpoint with an id accepts new requests
+   * @param isReady whether the endpoint with an id accepts new requests
    */
   public ConnectionPool(
       Bootstrap bootstrap,
       DescriptorBudget descriptors,
       long connectTimeoutNanos,
       long upstreamIdleNanos,
-      LongPredicate ready) {
+      LongPredicate isReady) {
     this.descriptors = descriptors;
     this.connectTimeoutNanos = connectTimeoutNanos;
     idleConnections = new IdleConnections(upstreamIdleNanos);
@@ -64,11 +64,14 @@
                 new ChannelInitializer<Channel>() {
                   @Override
                   protected void initChannel(Channel channel) {
-                    new UpstreamConnection(channel, idleConnections, ready).addHandlers();
+                    new UpstreamConnection(channel, idleConnections, isReady).addHandlers();
                   }
                 });
     loop.scheduleWithFixedDelay(
-        idleConnections::closeExpired, SWEEP_MILLIS, SWEEP_MILLIS, TimeUnit.MILLISECONDS);
+        idleConnections::closeExpired,
+        SWEEP_INTERVAL_MILLIS,
+        SWEEP_INTERVAL_MILLIS,
+        TimeUnit.MILLISECONDS);
   }
 
   /**
@@ -84,7 +87,7 @@
       SocketAddress address,
       Supplier<FullHttpRequest> request,
       long timeoutNanos) {
-    if (!call.isWanted()) {
+    if (!call.shouldBeSent()) {
       call.complete(AttemptStatus.NOT_SENT, null);
       return;
     }
@@ -93,7 +96,7 @@
     if (reused != null) {
       reused.send(call, request.get());
     } else {
-      new Connect(call, address, request).start();
+      new ConnectOperation(call, address, request).start();
     }
   }
 
@@ -102,21 +105,21 @@
    * a descriptor or a port say, it is tried again: nothing has been sent, and the endpoint has not
    * been asked.
    */
-  private final class Connect {
+  private final class ConnectOperation {
 
     private final UpstreamCall call;
     private final SocketAddress address;
     private final Supplier<FullHttpRequest> request;
     private final long retryUntilNanos = System.nanoTime() + connectTimeoutNanos;
 
-    Connect(UpstreamCall call, SocketAddress address, Supplier<FullHttpRequest> request) {
+    ConnectOperation(UpstreamCall call, SocketAddress address, Supplier<FullHttpRequest> request) {
       this.call = call;
       this.address = address;
       this.request = request;
     }
 
     void start() {
-      connecting.add(call);
+      connectingCalls.add(call);
       open();
     }
 
@@ -135,10 +138,10 @@
       Channel channel = connect.channel();
       call.assignTo(channel);
       descriptors.register(channel);
-      connect.addListener(future -> finished(channel, future.cause()));
+      connect.addListener(future -> connectFinished(channel, future.cause()));
     }
 
-    private void finished(Channel channel, Throwable failure) {
+    private void connectFinished(Channel channel, Throwable failure) {
       if (failure != null) {
         channel.close();
       }
@@ -146,12 +149,12 @@
         retryOrGiveUp();
         return;
       }
-      connecting.remove(call);
+      connectingCalls.remove(call);
       if (call.isDone() || failure != null) {
         // A call that was withdrawn or timed out while connecting is done and must not be written.
         call.complete(AttemptStatus.CONNECT_FAILED, null);
         channel.close();
-      } else if (!call.isWanted()) {
+      } else if (!call.shouldBeSent()) {
         call.complete(AttemptStatus.NOT_SENT, null);
         channel.close();
       } else {
@@ -161,18 +164,18 @@
 
     private void retryOrGiveUp() {
       if (System.nanoTime() < retryUntilNanos) {
-        loop.schedule(this::retry, LOCAL_RETRY_MILLIS, TimeUnit.MILLISECONDS);
+        loop.schedule(this::retry, LOCAL_RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
       } else {
-        connecting.remove(call);
+        connectingCalls.remove(call);
         call.complete(AttemptStatus.NOT_SENT, null);
       }
     }
 
     private void retry() {
-      if (!call.isDone() && call.isWanted()) {
+      if (!call.isDone() && call.shouldBeSent()) {
         open();
       } else {
-        connecting.remove(call);
+        connectingCalls.remove(call);
         call.complete(AttemptStatus.NOT_SENT, null);
       }
     }
@@ -191,7 +194,7 @@
    */
   public void withdraw(LongPredicate endpoints) {
     idleConnections.closeMatching(endpoints);
-    for (UpstreamCall call : List.copyOf(connecting)) {
+    for (UpstreamCall call : List.copyOf(connectingCalls)) {
       if (endpoints.test(call.endpointId())) {
         call.cancel();
       }
--- a/src/main/java/loadbalancer/upstream/IdleConnections.java
+++ b/src/main/java/loadbalancer/upstream/IdleConnections.java
@@ -19,7 +19,7 @@
    * The part of the upstreams' idle timeout after which a connection is closed here. A request that
    * crosses the upstream's own close on the wire would end as a reset.
    */
-  private static final double IDLE_TIMEOUT_PART = 0.7;
+  private static final double IDLE_TIMEOUT_FRACTION = 0.7;
 
   private final long idleTimeoutNanos;
   private final IdleReusePolicy reusePolicy = new IdleReusePolicy();
@@ -34,7 +34,7 @@
    * @param upstreamIdleNanos the time after which upstreams close idle connections
    */
   IdleConnections(long upstreamIdleNanos) {
-    idleTimeoutNanos = (long) (upstreamIdleNanos * IDLE_TIMEOUT_PART);
+    idleTimeoutNanos = (long) (upstreamIdleNanos * IDLE_TIMEOUT_FRACTION);
   }
 
   /** Adds a connection that has become idle. */
--- a/src/main/java/loadbalancer/upstream/IdleReusePolicy.java
+++ b/src/main/java/loadbalancer/upstream/IdleReusePolicy.java
@@ -14,10 +14,10 @@
   /** Idle times up to this share the first age bucket; each further bucket doubles the time. */
   private static final long FIRST_BUCKET_NANOS = TimeUnit.MILLISECONDS.toNanos(16);
 
-  private static final int BUCKETS = 10;
+  private static final int BUCKET_COUNT = 10;
 
   /** An age is too old if more than this part of its connections broke. */
-  private static final double MAX_BROKEN_PART = 0.25;
+  private static final double MAX_BROKEN_FRACTION = 0.25;
 
   /** Fewer broken connections than this, by their decayed count, say nothing of an age. */
   private static final double MIN_BROKEN_COUNT = 2.5;
@@ -28,9 +28,9 @@
    */
   private static final double DECAY_NANOS = TimeUnit.SECONDS.toNanos(20);
 
-  private final double[] workingCounts = new double[BUCKETS];
-  private final double[] brokenCounts = new double[BUCKETS];
-  private long decayedAtNanos;
+  private final double[] workingCounts = new double[BUCKET_COUNT];
+  private final double[] brokenCounts = new double[BUCKET_COUNT];
+  private long lastDecayNanos;
 
   /**
    * Records the outcome of a reuse.
@@ -41,11 +41,11 @@
    */
   void recordReuse(long nowNanos, long idleNanos, boolean broken) {
     double decay = decayAt(nowNanos);
-    for (int i = 0; i < BUCKETS; i++) {
+    for (int i = 0; i < BUCKET_COUNT; i++) {
       workingCounts[i] *= decay;
       brokenCounts[i] *= decay;
     }
-    decayedAtNanos = nowNanos;
+    lastDecayNanos = nowNanos;
     double[] counts = broken ? brokenCounts : workingCounts;
     counts[bucket(idleNanos)]++;
   }
@@ -58,7 +58,7 @@
     for (int i = 0; i <= bucket(idleNanos); i++) {
       double reuses = workingCounts[i] + brokenCounts[i];
       if (brokenCounts[i] * decay >= MIN_BROKEN_COUNT
-          && brokenCounts[i] > MAX_BROKEN_PART * reuses) {
+          && brokenCounts[i] > MAX_BROKEN_FRACTION * reuses) {
         return false;
       }
     }
@@ -66,11 +66,11 @@
   }
 
   private double decayAt(long nowNanos) {
-    return Math.exp((decayedAtNanos - nowNanos) / DECAY_NANOS);
+    return Math.exp((lastDecayNanos - nowNanos) / DECAY_NANOS);
   }
 
   private static int bucket(long idleNanos) {
     int doublings = Long.SIZE - Long.numberOfLeadingZeros(idleNanos / FIRST_BUCKET_NANOS);
-    return Math.min(BUCKETS - 1, doublings);
+    return Math.min(BUCKET_COUNT - 1, doublings);
   }
 }
--- a/src/main/java/loadbalancer/upstream/ResponseClassifier.java
+++ b/src/main/java/loadbalancer/upstream/ResponseClassifier.java
@@ -8,7 +8,7 @@
 /** Maps a response to the status of its attempt. */
 final class ResponseClassifier {
 
-  private static final String SET = "1";
+  private static final String NEVER_RAN_VALUE = "1";
 
   private ResponseClassifier() {}
 
@@ -27,6 +27,6 @@
     HttpResponseStatus status = response.status();
     return (status.equals(HttpResponseStatus.SERVICE_UNAVAILABLE)
             || status.equals(HttpResponseStatus.GATEWAY_TIMEOUT))
-        && SET.equals(response.headers().get(HttpProtocol.NEVER_RAN_HEADER));
+        && NEVER_RAN_VALUE.equals(response.headers().get(HttpProtocol.NEVER_RAN_HEADER));
   }
 }
--- a/src/main/java/loadbalancer/upstream/ResponseDecoder.java
+++ b/src/main/java/loadbalancer/upstream/ResponseDecoder.java
@@ -11,21 +11,21 @@
 final class ResponseDecoder extends HttpResponseDecoder {
 
   /** The first line of a response has been decoded, and its end has not been reported. */
-  private boolean responseStarted;
+  private boolean hasResponseStarted;
 
   /** Returns whether a part of a response has come in that has not been passed on whole. */
   boolean hasPartialResponse() {
-    return responseStarted || actualReadableBytes() > 0;
+    return hasResponseStarted || actualReadableBytes() > 0;
   }
 
   /** The response that had started has been passed on whole. */
   void responseEnded() {
-    responseStarted = false;
+    hasResponseStarted = false;
   }
 
   @Override
   protected HttpMessage createMessage(String[] initialLine) {
-    responseStarted = true;
+    hasResponseStarted = true;
     return super.createMessage(initialLine);
   }
 
--- a/src/main/java/loadbalancer/upstream/UpstreamCall.java
+++ b/src/main/java/loadbalancer/upstream/UpstreamCall.java
@@ -27,27 +27,27 @@
   }
 
   private final long endpointId;
-  private final BooleanSupplier wanted;
+  private final BooleanSupplier shouldBeSent;
   private final CompletionListener listener;
 
   /** The connection that the call is on, from connecting or reuse until the call completes. */
   private Channel channel;
 
   private Future<?> timeout;
-  private boolean written;
-  private boolean done;
+  private boolean isWritten;
+  private boolean isDone;
 
   /**
    * Creates a call that has not been started.
    *
    * @param endpointId the endpoint that it goes to
-   * @param wanted asked right before the first byte is written: much may have happened since the
-   *     decision to send it
+   * @param shouldBeSent asked right before the first byte is written: much may have happened since
+   *     the decision to send it
    * @param listener is notified of the outcome
    */
-  public UpstreamCall(long endpointId, BooleanSupplier wanted, CompletionListener listener) {
+  public UpstreamCall(long endpointId, BooleanSupplier shouldBeSent, CompletionListener listener) {
     this.endpointId = endpointId;
-    this.wanted = wanted;
+    this.shouldBeSent = shouldBeSent;
     this.listener = listener;
   }
 
@@ -57,21 +57,21 @@
   }
 
   /** Returns whether the call may still be sent. */
-  public boolean isWanted() {
-    return wanted.getAsBoolean();
+  public boolean shouldBeSent() {
+    return shouldBeSent.getAsBoolean();
   }
 
   /** Returns whether the last byte has been written: from then on the request may have run. */
   public boolean isWritten() {
-    return written;
+    return isWritten;
   }
 
   /** Completes the call unless it has completed already. */
   public void complete(AttemptStatus status, FullHttpResponse response) {
-    if (done) {
+    if (isDone) {
       return;
     }
-    done = true;
+    isDone = true;
     channel = null;
     if (timeout != null) {
       timeout.cancel(false);
@@ -80,7 +80,7 @@
   }
 
   boolean isDone() {
-    return done;
+    return isDone;
   }
 
   /** Limits the time until completion, connecting included. */
@@ -93,7 +93,7 @@
   }
 
   void markWritten() {
-    written = true;
+    isWritten = true;
   }
 
   void cancel() {
@@ -106,11 +106,11 @@
 
   /** Stops waiting. The response may still come, so the connection cannot be reused. */
   private void abandon(AttemptStatus statusIfUnwritten, AttemptStatus statusIfWritten) {
-    if (done) {
+    if (isDone) {
       return;
     }
     Channel abandoned = channel;
-    complete(written ? statusIfWritten : statusIfUnwritten, null);
+    complete(isWritten ? statusIfWritten : statusIfUnwritten, null);
     if (abandoned != null) {
       abandoned.close();
     }
--- a/src/main/java/loadbalancer/upstream/UpstreamConnection.java
+++ b/src/main/java/loadbalancer/upstream/UpstreamConnection.java
@@ -33,7 +33,7 @@
 
   private final Channel channel;
   private final IdleConnections idleConnections;
-  private final LongPredicate ready;
+  private final LongPredicate isReady;
   private final ResponseDecoder decoder = new ResponseDecoder();
   private final ResponseStartCheck startCheck = new ResponseStartCheck(this, decoder);
 
@@ -50,10 +50,10 @@
 
   private int informationalResponses;
 
-  UpstreamConnection(Channel channel, IdleConnections idleConnections, LongPredicate ready) {
+  UpstreamConnection(Channel channel, IdleConnections idleConnections, LongPredicate isReady) {
     this.channel = channel;
     this.idleConnections = idleConnections;
-    this.ready = ready;
+    this.isReady = isReady;
   }
 
   /** Fills the pipeline of the connection's channel. */
@@ -104,19 +104,19 @@
   }
 
   /** Writes a call's request. Takes over the request. */
-  void send(UpstreamCall next, FullHttpRequest request) {
-    call = next;
-    endpointId = next.endpointId();
-    next.assignTo(channel);
+  void send(UpstreamCall nextCall, FullHttpRequest request) {
+    call = nextCall;
+    endpointId = nextCall.endpointId();
+    nextCall.assignTo(channel);
     channel
         .writeAndFlush(request)
         .addListener(
             future -> {
               if (future.isSuccess()) {
-                next.markWritten();
+                nextCall.markWritten();
               } else {
                 channel.close();
-                next.complete(AttemptStatus.CONNECT_FAILED, null);
+                nextCall.complete(AttemptStatus.CONNECT_FAILED, null);
               }
             });
   }
@@ -172,7 +172,7 @@
         && completed.isWritten()
         && !completed.isDone()
         && HttpUtil.isKeepAlive(response)
-        && ready.test(endpointId)) {
+        && isReady.test(endpointId)) {
       idleSinceNanos = System.nanoTime();
       idleConnections.add(this);
     } else {
@@ -203,9 +203,9 @@
 
   @Override
   public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-    boolean expected = cause instanceof IOException || cause instanceof CodecException;
+    boolean isExpected = cause instanceof IOException || cause instanceof CodecException;
     LOG.log(
-        expected ? Level.FINE : Level.WARNING,
+        isExpected ? Level.FINE : Level.WARNING,
         "upstream_connection_failed address=" + channel.remoteAddress(),
         cause);
     context.close();
--- a/src/test/java/loadbalancer/discovery/DiscoveryFailureTest.java
+++ b/src/test/java/loadbalancer/discovery/DiscoveryFailureTest.java
@@ -54,8 +54,8 @@
     FakeServer.Script script =
         connection -> {
           connection.readRequest();
-          String begun = ProxyFixture.list(42, false, READY_MEMBER).substring(0, 60);
-          connection.write(DiscoveryMessages.watchResponse(begun));
+          String partialList = ProxyFixture.list(42, false, READY_MEMBER).substring(0, 60);
+          connection.write(DiscoveryMessages.watchResponse(partialList));
           while (true) {
             connection.write(DiscoveryMessages.chunk(""));
             Thread.sleep(20);
--- a/src/test/java/loadbalancer/discovery/DiscoveryRecoveryTest.java
+++ b/src/test/java/loadbalancer/discovery/DiscoveryRecoveryTest.java
@@ -46,7 +46,7 @@
    * more than 9 s.
    */
   @Test
-  void updatesArriveInTimeBehindTwoSilentWatches() throws Exception {
+  void updateArrivesInTimeAfterTwoSilentWatches() throws Exception {
     ScriptedEngine engine = passiveEngine();
     AtomicInteger watches = new AtomicInteger();
     AtomicLong silentAtNanos = new AtomicLong();
@@ -71,8 +71,8 @@
       assertEquals("CACHED 1 READY", nextUpdate(engine));
       assertEquals("FULL 1 READY", nextUpdate(engine));
       assertEquals("DELTA 1 DRAINING", nextUpdate(engine));
-      long tookMillis = millisSince(silentAtNanos);
-      assertTrue(tookMillis < 6000, "the update took " + tookMillis + " ms");
+      long elapsedMillis = millisSince(silentAtNanos);
+      assertTrue(elapsedMillis < 6000, "the update took " + elapsedMillis + " ms");
       assertEquals(3, watches.get());
     }
   }
@@ -84,7 +84,7 @@
   /** How a call fails. */
   private enum FailingCall {
     SILENT(FakeServer.Connection::awaitClose),
-    HALF_A_HEAD(
+    INCOMPLETE_HEADERS(
         connection -> {
           connection.write("HTTP/1.1 200 OK\r\nTransfer-");
           connection.awaitClose();
@@ -97,10 +97,10 @@
             Thread.sleep(200);
           }
         }),
-    LIST_CUT_OFF(
+    INCOMPLETE_LIST(
         connection -> {
-          String begun = ProxyFixture.list(42, true, READY_MEMBER).substring(0, 60);
-          connection.write(DiscoveryMessages.watchResponse(begun));
+          String partialList = ProxyFixture.list(42, true, READY_MEMBER).substring(0, 60);
+          connection.write(DiscoveryMessages.watchResponse(partialList));
           connection.awaitClose();
         }),
     CLOSED(connection -> {}),
@@ -122,7 +122,7 @@
   /** Calls fail several times in a row; right after the last of them began there is an update. */
   @ParameterizedTest
   @CsvSource({"pushed", "on_request"})
-  void updatesArriveInTimeWhateverFailedBefore(String mode) throws Exception {
+  void updateArrivesInTimeAfterFailuresOfAnyKind(String mode) throws Exception {
     ExecutorService executor = Executors.newCachedThreadPool();
     try {
       Map<FailingCall, Future<Long>> results = new EnumMap<>(FailingCall.class);
@@ -140,14 +140,14 @@
     }
   }
 
-  private static long millisToUpdate(FailingCall failingCall, int times, String mode)
+  private static long millisToUpdate(FailingCall failingCall, int failureCount, String mode)
       throws Exception {
     AtomicInteger calls = new AtomicInteger();
     AtomicLong reachableAtNanos = new AtomicLong();
     FakeServer.Script script =
         connection -> {
           connection.readRequest();
-          if (calls.incrementAndGet() <= times) {
+          if (calls.incrementAndGet() <= failureCount) {
             reachableAtNanos.set(System.nanoTime());
             failingCall.script.run(connection);
           } else {
--- a/src/test/java/loadbalancer/discovery/DiscoveryTimeoutsTest.java
+++ b/src/test/java/loadbalancer/discovery/DiscoveryTimeoutsTest.java
@@ -13,7 +13,7 @@
 class DiscoveryTimeoutsTest {
 
   /** More failures than any backoff or limit grows with. */
-  private static final int MANY = 20;
+  private static final int MANY_FAILURES = 20;
 
   /**
    * Each limit is noticed at the next check. What is left of the deadline is for a busy event loop
@@ -21,28 +21,33 @@
    */
   @ParameterizedTest
   @CsvSource({"true,1000", "false,800"})
-  void noChainOfTimeoutsAndBackoffsComesNearToTheUpdateDeadline(boolean pushed, long spareMillis) {
-    long check = DiscoveryTimeouts.CHECK_INTERVAL_MILLIS;
+  void everySequenceOfTimeoutsAndBackoffsEndsWellBeforeUpdateDeadline(
+      boolean isPushed, long marginMillis) {
+    long checkMillis = DiscoveryTimeouts.CHECK_INTERVAL_MILLIS;
     // A watch falls silent with the update; the one that replaces it is dead as well, and where
     // lists are pushed the next one, too.
-    long silent = DiscoveryTimeouts.SILENCE_MILLIS + check;
-    int deadWatches = pushed ? 2 : 1;
-    for (int dead = 0; dead < deadWatches; dead++) {
-      silent +=
-          backoffMillis(pushed, dead) + DiscoveryTimeouts.firstListMillis(pushed, dead) + check;
+    long silentMillis = DiscoveryTimeouts.SILENCE_TIMEOUT_MILLIS + checkMillis;
+    int deadWatches = isPushed ? 2 : 1;
+    for (int failures = 0; failures < deadWatches; failures++) {
+      silentMillis +=
+          backoffMillis(isPushed, failures)
+              + DiscoveryTimeouts.firstListTimeoutMillis(isPushed, failures)
+              + checkMillis;
     }
-    silent += backoffMillis(pushed, deadWatches);
-    assertInTime("silent watches", silent + spareMillis);
+    silentMillis += backoffMillis(isPushed, deadWatches);
+    assertWithinDeadline("silent watches", silentMillis + marginMillis);
     // A list is cut off, and the same again.
-    long cutOff =
-        2 * (DiscoveryTimeouts.COMPLETE_LIST_MILLIS + check)
-            + backoffMillis(pushed, 0)
-            + backoffMillis(pushed, 1);
-    assertInTime("lists cut off", cutOff + spareMillis);
+    long truncatedMillis =
+        2 * (DiscoveryTimeouts.LIST_COMPLETION_TIMEOUT_MILLIS + checkMillis)
+            + backoffMillis(isPushed, 0)
+            + backoffMillis(isPushed, 1);
+    assertWithinDeadline("lists cut off", truncatedMillis + marginMillis);
     // After a long outage: the last call that fails began just before discovery was reachable.
-    long outage =
-        DiscoveryTimeouts.firstListMillis(pushed, MANY) + check + backoffMillis(pushed, MANY);
-    assertInTime("outage", outage + 2 * spareMillis);
+    long outageMillis =
+        DiscoveryTimeouts.firstListTimeoutMillis(isPushed, MANY_FAILURES)
+            + checkMillis
+            + backoffMillis(isPushed, MANY_FAILURES);
+    assertWithinDeadline("outage", outageMillis + 2 * marginMillis);
   }
 
   /**
@@ -51,23 +56,23 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {300, 500, 2000})
-  void aCallThatTheAgentPassedOverIsMadeAgainWithinADrainsGrace(long graceMillis) {
+  void callLeftUnansweredByAgentIsRetriedWithinDrainGracePeriod(long graceMillis) {
     long graceNanos = TimeUnit.MILLISECONDS.toNanos(graceMillis);
-    long again =
+    long retryMillis =
         DiscoveryTimeouts.agentFirstByteTimeoutMillis(graceMillis)
             + DiscoveryTimeouts.CHECK_INTERVAL_MILLIS
-            + AgentRetryPolicy.backoffMillis(MANY, graceNanos);
-    assertTrue(again < graceMillis, again + " ms");
+            + AgentRetryPolicy.backoffMillis(MANY_FAILURES, graceNanos);
+    assertTrue(retryMillis < graceMillis, retryMillis + " ms");
   }
 
-  private static void assertInTime(String chain, long millis) {
+  private static void assertWithinDeadline(String sequence, long millis) {
     assertTrue(
         millis <= DiscoveryTimeouts.UPDATE_DEADLINE_MILLIS,
-        chain + ": " + millis + " ms with what is spared");
+        sequence + ": " + millis + " ms with what is spared");
   }
 
-  private static long backoffMillis(boolean pushed, int failures) {
-    return pushed
+  private static long backoffMillis(boolean isPushed, int failures) {
+    return isPushed
         ? AgentRetryPolicy.backoffMillis(failures)
         : TimeUnit.NANOSECONDS.toMillis(DiscoveryPoller.maxPollBackoffNanos(failures));
   }
--- a/src/test/java/loadbalancer/discovery/DiscoveryWatchTest.java
+++ b/src/test/java/loadbalancer/discovery/DiscoveryWatchTest.java
@@ -144,7 +144,7 @@
   }
 
   @Test
-  void watchesTheAgentUnaskedWhereListsArePushed() throws Exception {
+  void watchesAgentWithoutActionWhereListsArePushed() throws Exception {
     ScriptedEngine engine = passiveEngine();
     FakeServer.Script script =
         connection -> {
--- a/src/test/java/loadbalancer/discovery/EndpointDirectoryTest.java
+++ b/src/test/java/loadbalancer/discovery/EndpointDirectoryTest.java
@@ -17,7 +17,7 @@
 /** Ids, incarnations and start times of endpoints. */
 class EndpointDirectoryTest {
 
-  private static final long SECOND = TimeUnit.SECONDS.toNanos(1);
+  private static final long SECOND_NANOS = TimeUnit.SECONDS.toNanos(1);
 
   private final MonotonicClock clock = new MonotonicClock();
   private final EndpointDirectory directory = new EndpointDirectory(clock);
@@ -68,7 +68,7 @@
 
   /** The latest start may be of this moment, and others are older by what lies between. */
   @Test
-  void startTimesKeepTheirDistanceAndLongAgoStaysLongAgo() {
+  void startTimesKeepTheirDifferencesAndLongAgoStaysLongAgo() {
     long before = clock.nowNanos();
     List<Endpoint> endpoints =
         complete(
@@ -79,25 +79,26 @@
             member("c", 3, 1_007_000));
     assertEquals(0, endpoints.get(0).startedNanos(), "long ago");
     assertTrue(endpoints.get(2).startedNanos() >= before, "may have started just now");
-    assertEquals(7 * SECOND, endpoints.get(2).startedNanos() - endpoints.get(1).startedNanos());
+    assertEquals(
+        7 * SECOND_NANOS, endpoints.get(2).startedNanos() - endpoints.get(1).startedNanos());
   }
 
   @Test
-  void anEndpointGrowsOlderByWhatIsStatedLater() {
+  void startTimeBecomesEarlierWithLaterStatements() {
     List<Endpoint> first =
         complete(UpdateKind.CACHED, 1, member("a", 1, 1_000_000), member("b", 2, 1_001_000));
     assertTrue(first.get(1).startedNanos() <= clock.nowNanos());
     List<Endpoint> later = delta(2, member("c", 3, 1_501_000), member("a", 1, 1_000_000));
     assertTrue(later.get(0).startedNanos() <= clock.nowNanos(), "not in the future");
     assertEquals(
-        501 * SECOND,
+        501 * SECOND_NANOS,
         later.get(0).startedNanos() - later.get(1).startedNanos(),
         "the distance of the statements");
   }
 
   /** Whatever is stated: another machine's clock may be behind. */
   @Test
-  void aStartThatIsSeenOnAWatchWasNotBeforeTheUpdateBefore() {
+  void startSeenOnWatchIsNotBeforePreviousUpdate() {
     complete(UpdateKind.FULL, 1, member("a", 1, 9_000_000), member("b", 2, 0));
     long between = clock.nowNanos();
     delta(2, member("b", 2, 0));
@@ -107,7 +108,7 @@
   }
 
   @Test
-  void aStartThatNoClockCanShowCountsAsOfThisMoment() {
+  void startTimeOutOfRangeCountsAsNow() {
     long before = clock.nowNanos();
     List<Endpoint> endpoints =
         complete(UpdateKind.FULL, 1, member("a", 1, Long.MAX_VALUE), member("b", 2, 1_000_000));
--- a/src/test/java/loadbalancer/upstream/IdleReusePolicyTest.java
+++ b/src/test/java/loadbalancer/upstream/IdleReusePolicyTest.java
@@ -9,38 +9,38 @@
 /** At which idle times connections are reused, by what has been observed. */
 class IdleReusePolicyTest {
 
-  private static final long SECOND = TimeUnit.SECONDS.toNanos(1);
-  private static final long YOUNG = TimeUnit.MILLISECONDS.toNanos(100);
-  private static final long OLD = TimeUnit.MILLISECONDS.toNanos(1000);
-  private static final long OLDER = TimeUnit.MILLISECONDS.toNanos(3000);
+  private static final long SECOND_NANOS = TimeUnit.SECONDS.toNanos(1);
+  private static final long SHORT_IDLE_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
+  private static final long LONG_IDLE_NANOS = TimeUnit.MILLISECONDS.toNanos(1000);
+  private static final long LONGER_IDLE_NANOS = TimeUnit.MILLISECONDS.toNanos(3000);
 
   private final IdleReusePolicy policy = new IdleReusePolicy();
 
   @Test
-  void rejectsTheAgeAtWhichConnectionsBreakAndAllAbove() {
+  void rejectsIdleTimeAtWhichConnectionsBreakAndAllLongerOnes() {
     for (int i = 0; i < 3; i++) {
-      assertTrue(policy.allowsReuse(0, OLD), "too few observations");
-      policy.recordReuse(0, OLD, true);
+      assertTrue(policy.allowsReuse(0, LONG_IDLE_NANOS), "too few observations");
+      policy.recordReuse(0, LONG_IDLE_NANOS, true);
     }
-    assertFalse(policy.allowsReuse(0, OLD));
-    assertFalse(policy.allowsReuse(0, OLDER));
-    assertTrue(policy.allowsReuse(0, YOUNG));
+    assertFalse(policy.allowsReuse(0, LONG_IDLE_NANOS));
+    assertFalse(policy.allowsReuse(0, LONGER_IDLE_NANOS));
+    assertTrue(policy.allowsReuse(0, SHORT_IDLE_NANOS));
   }
 
   @Test
-  void allowsAnAgeAtWhichFewConnectionsBreak() {
+  void allowsIdleTimeAtWhichFewConnectionsBreak() {
     for (int i = 0; i < 40; i++) {
-      policy.recordReuse(0, OLD, i % 10 == 0);
+      policy.recordReuse(0, LONG_IDLE_NANOS, i % 10 == 0);
     }
-    assertTrue(policy.allowsReuse(0, OLD));
+    assertTrue(policy.allowsReuse(0, LONG_IDLE_NANOS));
   }
 
   @Test
   void allowsReuseAgainOnceObservationsHaveDecayed() {
     for (int i = 0; i < 5; i++) {
-      policy.recordReuse(0, OLD, true);
+      policy.recordReuse(0, LONG_IDLE_NANOS, true);
     }
-    assertFalse(policy.allowsReuse(SECOND, OLD));
-    assertTrue(policy.allowsReuse(60 * SECOND, OLD));
+    assertFalse(policy.allowsReuse(SECOND_NANOS, LONG_IDLE_NANOS));
+    assertTrue(policy.allowsReuse(60 * SECOND_NANOS, LONG_IDLE_NANOS));
   }
 }
--- a/src/test/java/loadbalancer/upstream/LoadReportTest.java
+++ b/src/test/java/loadbalancer/upstream/LoadReportTest.java
@@ -24,12 +24,12 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"", "JSON {}", "TEXT", "TEXT ", "TEXT ,", "TEXT =1", "TEXT util"})
-  void isEmptyWithoutFigures(String value) {
+  void isEmptyWithoutMetrics(String value) {
     assertEquals(LoadReport.EMPTY, LoadReport.parse(headers(value)));
   }
 
   @Test
-  void skipsMalformedFigures() {
+  void skipsMalformedValues() {
     LoadReport report =
         LoadReport.parse(headers("TEXT a=1,, b = 2.5 ,c=NaN,d=Infinity,e=f,g=,h=-3,"));
     assertEquals(Map.of("a", 1.0, "b", 2.5, "h", -3.0), report.metrics());
--- a/src/test/java/loadbalancer/upstream/SecondResponseGuardTest.java
+++ b/src/test/java/loadbalancer/upstream/SecondResponseGuardTest.java
@@ -30,14 +30,14 @@
   }
 
   @Test
-  void growsToNoMoreThanTheLongestPeriod() {
+  void doesNotGrowBeyondMaximum() {
     recordAfterMillis(100);
     assertFalse(isOverAfterMillis(99));
     assertTrue(isOverAfterMillis(100));
   }
 
   @Test
-  void ignoresWhatArrivesAfterTheLongestPeriod() {
+  void ignoresBytesAfterMaximumQuietPeriod() {
     recordAfterMillis(101);
     assertTrue(isOverAfterMillis(10));
   }
