--- a/src/main/java/loadbalancer/discovery/DiscoveryClient.java
+++ b/src/main/java/loadbalancer/discovery/DiscoveryClient.java
@@ -8,13 +8,13 @@
 import loadbalancer.decision.api.UpdateKind;
 
 /**
- * The client of discovery: fetches the endpoint list, keeps at most one watch on it, and follows
- * discovery to a new address. It reports every list and every failure; whether and when a failed
- * call is repeated is its owner's decision. All methods run on the event loop.
+ * A discovery client that fetches the endpoint list, keeps at most one watch on it open, and
+ * supports a change of discovery's address. It reports every list and every failure; its owner
+ * decides whether and when to retry a failed call. All methods must be called on the event loop.
  */
 public final class DiscoveryClient implements EndpointSource {
 
-  /** The time for the first list of a watch at the local agent, in ms. */
+  /** The timeout for the first list of a watch at the local agent, in ms. */
   public static final long AGENT_FIRST_LIST_TIMEOUT_MILLIS =
       DiscoveryTimeouts.AGENT_FIRST_LIST_TIMEOUT_MILLIS;
 
@@ -28,28 +28,29 @@
   private final DiscoveryStream.Listener streamListener = new StreamListener();
   private InetSocketAddress address;
 
-  /** The watch that stands; null if none does. */
+  /** The open watch; null if there is none. */
   private DiscoveryStream currentWatch;
 
-  /** Whether a watch is wanted, also while none stands because the last one failed. */
+  /** True while the owner wants a watch, even if none is open because the last one failed. */
   private boolean isWatchEnabled;
 
-  /** Whether the last call failed; limits the log to the changes. */
+  /** True if the last call failed. Only changes of this state are logged. */
   private boolean isFailing;
 
-  /** Calls in a row that a time limit ended without a list. */
+  /** The number of consecutive calls that timed out before a list was received. */
   private int consecutiveTimeouts;
 
   /**
-   * A client that is idle until it is asked to watch or fetch.
+   * Creates a client that makes no call until {@link #watch} or {@link #fetch} is called.
    *
    * @param bootstrap connects to discovery; its group has one event loop
-   * @param isPushed whether an agent on this machine pushes the list, rather than a service that is
-   *     polled
-   * @param firstByteTimeoutMillis the time from a request to the first byte of its response, in ms
-   * @param revision the version of the list that was last accepted
-   * @param updates gets every list, as {@link UpdateKind#FULL} or {@link UpdateKind#DELTA}, and for
-   *     every failed call an empty one as {@link UpdateKind#FAILED}
+   * @param isPushed true if an agent on this machine pushes the list, false if a discovery service
+   *     is polled
+   * @param firstByteTimeoutMillis the maximum time from a request to the first byte of its
+   *     response, in ms
+   * @param revision supplies the revision of the last accepted list
+   * @param updates receives every list as {@link UpdateKind#FULL} or {@link UpdateKind#DELTA}, and
+   *     an empty list as {@link UpdateKind#FAILED} for every failed call
    */
   public DiscoveryClient(
       Bootstrap bootstrap,
@@ -66,7 +67,7 @@
     this.updates = updates;
   }
 
-  /** Follows discovery to a new address: ends a watch at the old one and watches at the new one. */
+  /** Changes discovery's address and, if a watch is enabled, reopens it at the new address. */
   public void changeAddress(InetSocketAddress newAddress) {
     if (!newAddress.equals(address)) {
       address = newAddress;
@@ -89,14 +90,14 @@
     }
   }
 
-  /** Watches again, if a watch is wanted and none stands. */
+  /** Opens a watch if one is enabled and none is open. */
   public void resumeWatch() {
     if (isWatchEnabled && currentWatch == null) {
       watch(true);
     }
   }
 
-  /** Replaces the watch by another one, if one is wanted. */
+  /** Replaces the watch by a new one if a watch is enabled. */
   public void restartWatch() {
     if (isWatchEnabled) {
       watch(true);
@@ -114,7 +115,7 @@
         firstByteTimeoutMillis);
   }
 
-  /** Turns what the streams report into updates, and keeps account of failures. */
+  /** Converts the events of streams into updates and tracks failures. */
   private final class StreamListener implements DiscoveryStream.Listener {
 
     @Override
@@ -142,7 +143,7 @@
       updates.accept(UpdateKind.FAILED, EndpointList.EMPTY);
     }
 
-    /** One line, in which quotes end nothing before the end. */
+    /** Formats a detail for the log: on a single line, with double quotes replaced. */
     private String formatDetail(String detail) {
       if (detail == null) {
         return "";
--- a/src/main/java/loadbalancer/discovery/DiscoveryFailure.java
+++ b/src/main/java/loadbalancer/discovery/DiscoveryFailure.java
@@ -1,26 +1,26 @@
 package loadbalancer.discovery;
 
-/** Why a call to discovery failed. */
+/** The reason why a call to discovery failed. */
 enum DiscoveryFailure {
   /** The process could not open a socket. */
   NO_SOCKET("no socket"),
-  /** Nobody accepted the connection in time. */
+  /** The connection was refused or not established in time. */
   CONNECT_FAILED("connect failed"),
   /** The response has a status other than 200. */
   UNEXPECTED_STATUS("unexpected status"),
   /** The response is not HTTP. */
   MALFORMED_RESPONSE("malformed response"),
-  /** A list is too long, is not JSON or lacks fields. */
+  /** A list is too long, is not valid JSON, or has missing or malformed fields. */
   MALFORMED_LIST("malformed list"),
-  /** Nothing was received for too long, or no first list. */
+  /** No data was received within the time limit, or no first list. */
   SILENT("silent"),
-  /** A list began and was not completed in time. */
+  /** A list was received in part and not completed in time. */
   LIST_INCOMPLETE("list incomplete"),
-  /** The response ended: a watch must not, a fetch must not without a list. */
+  /** The response of a watch ended, or that of a fetch ended without a list. */
   STREAM_ENDED("stream ended"),
-  /** The connection was closed or reset within the response. */
+  /** The connection was closed or reset before the response was complete. */
   CONNECTION_LOST("connection lost"),
-  /** Handling what was received threw an exception. */
+  /** Handling the received data threw an exception. */
   INTERNAL_ERROR("internal error");
 
   private final String reason;
@@ -29,12 +29,12 @@
     this.reason = reason;
   }
 
-  /** What the log calls it. */
+  /** Returns the reason as it is written to the log. */
   String reason() {
     return reason;
   }
 
-  /** Whether a time limit ended the call, rather than something that was received. */
+  /** Returns whether the call failed because a time limit was exceeded. */
   boolean isTimeout() {
     return this == SILENT || this == LIST_INCOMPLETE;
   }
--- a/src/main/java/loadbalancer/discovery/DiscoveryStream.java
+++ b/src/main/java/loadbalancer/discovery/DiscoveryStream.java
@@ -31,20 +31,20 @@
 import loadbalancer.net.PendingReads;
 
 /**
- * One call to discovery on a connection of its own: a fetch, which ends with its response, or a
- * watch, which must not end. It fails once at most, and reports nothing after it has failed or was
- * stopped. All of it runs on the event loop.
+ * One call to discovery on its own connection: either a fetch, which ends with its response, or a
+ * watch, whose response must not end. A stream fails at most once, and reports nothing after it has
+ * failed or been stopped. All methods must be called on the event loop.
  */
 final class DiscoveryStream extends SimpleChannelInboundHandler<HttpObject> {
 
-  /** Gets what a stream receives. Both methods may stop the stream and open others. */
+  /** Receives the events of a stream. Both methods may stop the stream and open others. */
   interface Listener {
 
-    /** A list arrived. */
+    /** Called when a list has been received. */
     void listReceived(EndpointList list);
 
     /**
-     * The stream failed and has closed its connection.
+     * Called when the stream has failed and closed its connection.
      *
      * @param detail further information for the log; null if there is none
      */
@@ -80,13 +80,13 @@
     this.listener = listener;
   }
 
-  /** A call for the complete list, once. */
+  /** Creates a call that requests the complete list once. */
   static DiscoveryStream fetch(
       Bootstrap bootstrap, InetSocketAddress address, StreamLimits limits, Listener listener) {
     return new DiscoveryStream(bootstrap, address, LIST_PATH, false, limits, listener);
   }
 
-  /** A call for the list, if it is newer than a revision, and for all changes from then on. */
+  /** Creates a call for the list, if it is newer than a revision, and for all later changes. */
   static DiscoveryStream watch(
       Bootstrap bootstrap,
       InetSocketAddress address,
@@ -101,7 +101,7 @@
   void open() {
     ChannelFuture connect = bootstrap.clone().handler(new PipelineInitializer()).connect(address);
     if (connect.isDone() && !connect.isSuccess()) {
-      // No socket could be opened. Netty would announce that on a thread of its own.
+      // No socket could be opened. Netty would notify a listener on a thread other than the loop's.
       eventLoop().execute(() -> fail(DiscoveryFailure.NO_SOCKET, null));
       return;
     }
@@ -132,7 +132,7 @@
     limits.requestSent();
   }
 
-  /** Ends the call without a report. */
+  /** Ends the call without notifying the listener. */
   void stop() {
     hasEnded = true;
     if (channel != null) {
@@ -141,7 +141,7 @@
     }
   }
 
-  /** Whether at least one list has arrived. */
+  /** Returns whether at least one list has been received. */
   boolean hasReceivedList() {
     return limits.hasReceivedList();
   }
@@ -157,7 +157,7 @@
     if (limits.exceededLimit() == null) {
       return;
     }
-    // What has arrived may be unread because the event loop lagged.
+    // Data may have arrived that a lagging event loop has not read yet.
     PendingReads.readNow(channel);
     DiscoveryFailure exceeded = limits.exceededLimit();
     if (exceeded != null) {
@@ -222,7 +222,7 @@
         cause.toString());
   }
 
-  /** The codec, the stream, the framer and the receiver of what the framer cuts out. */
+  /** Adds the HTTP codec, the stream, the framer and the receiver of complete lists. */
   private final class PipelineInitializer extends ChannelInitializer<Channel> {
     @Override
     protected void initChannel(Channel created) {
@@ -232,7 +232,7 @@
     }
   }
 
-  /** The last handler: gets the lists one by one, and the framer's exceptions. */
+  /** The last handler, which receives single lists and the framer's exceptions. */
   private final class ListReceiver extends SimpleChannelInboundHandler<ByteBuf> {
     @Override
     protected void channelRead0(ChannelHandlerContext context, ByteBuf text) {
--- a/src/main/java/loadbalancer/discovery/DiscoveryTimeouts.java
+++ b/src/main/java/loadbalancer/discovery/DiscoveryTimeouts.java
@@ -1,61 +1,61 @@
 package loadbalancer.discovery;
 
 /**
- * The time limits of discovery, all in milliseconds. They depend on one another: from a change at
- * discovery to its arrival here, whatever fails in between, no more than {@link
- * #UPDATE_DEADLINE_MILLIS} may pass. The sums are checked in DiscoveryTimeoutsTest.
+ * The time limits of discovery calls, all in milliseconds. They depend on each other: a change at
+ * discovery must arrive within {@link #UPDATE_DEADLINE_MILLIS} even if several calls fail in
+ * between. DiscoveryTimeoutsTest checks the sums.
  */
 public final class DiscoveryTimeouts {
 
-  /** A change must have arrived this long after discovery had it and could be reached. */
+  /** The time within which a change must arrive once discovery has it and is reachable. */
   static final long UPDATE_DEADLINE_MILLIS = 6000;
 
   /**
-   * A call that receives no byte for so long has failed. Discovery writes a line every 2 s. The
-   * limit is far below the deadline for updates, because a watch that died unnoticed may be
-   * replaced by one that is dead as well.
+   * The time without any received data after which a call has failed. Discovery writes a line every
+   * 2 s. The limit is far below the deadline for updates because a watch whose connection is dead
+   * may be replaced by another one on a dead connection.
    */
   static final long SILENCE_TIMEOUT_MILLIS = 2800;
 
   /**
-   * Where the list is pushed: the time for the first list of a watch. The agent on this machine
-   * responds at once, so that a watch without a list by then was dead from its start.
+   * The time for the first list of a watch where the list is pushed. The agent on this machine
+   * responds immediately, so a watch without a list by then has never worked.
    */
   public static final long AGENT_FIRST_LIST_TIMEOUT_MILLIS = 750;
 
   /**
-   * The part of a drain's grace that the agent's response may take to begin. What the agent has
-   * applies from the moment on in which it gets it; a call that it passed over, while discovery was
-   * down, has to be made again within that grace.
+   * The fraction of the drain grace period within which the agent's response must start. The grace
+   * period of a drain starts when the agent learns of it. While discovery is down the agent may
+   * leave a call unanswered, and the call must be retried within the grace period.
    */
   private static final double AGENT_FIRST_BYTE_FRACTION = 0.4;
 
   /**
-   * Where the list is polled: the time for the first list of a call, if the call before had one.
-   * Calls wait in a queue there, so that the time doubles with every call that was abandoned: one
-   * that was always abandoned as early would never get through a long queue.
+   * The time for the first list of a call where the list is polled, if the previous call did not
+   * time out. The discovery service queues calls, so the time doubles with every consecutive
+   * timeout: with a constant timeout no call would get through a long queue.
    */
   static final long POLL_FIRST_LIST_TIMEOUT_MILLIS = 1400;
 
-  /** Enough for the time to reach {@link #SILENCE_TIMEOUT_MILLIS}, and too few for an overflow. */
+  /** Enough doublings to reach {@link #SILENCE_TIMEOUT_MILLIS}, but too few to overflow. */
   private static final int MAX_DOUBLINGS = 10;
 
   /**
-   * A list that began and is incomplete after so long was cut off. What follows would be read as
-   * its rest.
+   * The time after which a partly received list counts as truncated. Data that follows would be
+   * parsed as the rest of it.
    */
   static final long LIST_COMPLETION_TIMEOUT_MILLIS = 1000;
 
-  /** How often a call checks its limits; each of them is exceeded by so much at most. */
+  /** The interval at which a call checks its limits, and so the maximum delay of detection. */
   static final long CHECK_INTERVAL_MILLIS = 100;
 
   private DiscoveryTimeouts() {}
 
   /**
-   * The time from a call's request to the first byte of the local agent's response.
+   * Returns the maximum time from a request to the first byte of the local agent's response.
    *
-   * @param drainGraceMillis how long after the agent knows of it a drain has to be heeded; 0 for
-   *     unknown
+   * @param drainGraceMillis the time within which a drain must take effect after the agent learns
+   *     of it; 0 if unknown
    */
   public static long agentFirstByteTimeoutMillis(long drainGraceMillis) {
     return drainGraceMillis <= 0
@@ -65,10 +65,10 @@
   }
 
   /**
-   * The time that a call has for its first list.
+   * Returns the maximum time until a call receives its first list.
    *
-   * @param pushed whether the list is pushed by an agent on this machine
-   * @param abandonedCalls calls in a row that were abandoned without a list
+   * @param isPushed whether the list is pushed by an agent on this machine
+   * @param consecutiveTimeouts the number of preceding calls in a row that timed out without a list
    */
   static long firstListTimeoutMillis(boolean isPushed, int consecutiveTimeouts) {
     if (isPushed) {
--- a/src/main/java/loadbalancer/discovery/EndpointDirectory.java
+++ b/src/main/java/loadbalancer/discovery/EndpointDirectory.java
@@ -17,14 +17,15 @@
 import loadbalancer.net.MonotonicClock;
 
 /**
- * The endpoints as discovery last named them: ids, addresses and states. Owned by the event loop;
- * no other thread may use it.
+ * The endpoints of the last accepted list, with their ids, addresses and states. Confined to the
+ * event loop.
  */
 public final class EndpointDirectory {
 
   /**
-   * A discovery that keeps to older versions for so long has begun to count anew, as after a
-   * restart. One that lags behind has caught up by then.
+   * The time after which a complete list with an older revision is accepted. If discovery still
+   * sends older revisions by then, it has restarted its revision counter; a replica that merely
+   * lagged has caught up.
    */
   private static final long MAX_LAG_NANOS = TimeUnit.SECONDS.toNanos(4);
 
@@ -39,62 +40,64 @@
   private final StartTimeEstimator startTimes = new StartTimeEstimator();
   private long revision;
 
-  /** Since when discovery has sent nothing but older versions, if {@link #isDiscoveryBehind}. */
+  /**
+   * The time since which discovery has sent only older revisions, if {@link #isDiscoveryBehind}.
+   */
   private long behindSinceNanos;
 
   private boolean isDiscoveryBehind;
 
-  /** When discovery last sent a list or changes; 0 if it has not yet. */
+  /** The time of the last accepted list or delta from discovery; 0 if there is none yet. */
   private long lastUpdateNanos;
 
   /**
    * A listed endpoint.
    *
-   * @param notBeforeNanos a time before which this incarnation has not started: that of the update
-   *     before the one that first had it; 0 where there was none
+   * @param notBeforeNanos a lower bound for the start of this incarnation: the time of the last
+   *     update before the one that first listed it; 0 if there was none
    */
   private record Listing(Member member, long notBeforeNanos) {}
 
-  /** An empty directory; {@code clock} is the one that start times are given on. */
+  /** Creates an empty directory whose start times are readings of {@code clock}. */
   public EndpointDirectory(MonotonicClock clock) {
     this.clock = clock;
   }
 
   /**
-   * The version of the list that was last accepted; 0, which asks for the complete list, while
-   * discovery is behind it.
+   * Returns the revision of the last accepted list. While discovery is behind it, returns 0, which
+   * requests the complete list.
    */
   public long revision() {
     return isDiscoveryBehind ? 0 : revision;
   }
 
   /**
-   * Whether discovery's last list was refused as outdated. Its complete list is accepted once it
-   * has been behind for some seconds, so it has to be asked for that again.
+   * Returns whether the last list from discovery was rejected as outdated. A complete list is
+   * accepted once discovery has been behind for some seconds, so it must be requested again.
    */
   public boolean isDiscoveryBehind() {
     return isDiscoveryBehind;
   }
 
-  /** Where an endpoint listens; null for one that is not on the list. */
+  /** Returns the address of an endpoint, or null if it is not listed. */
   public SocketAddress address(long endpointId) {
     Listing listing = listingsById.get(endpointId);
     return listing == null ? null : listing.member().address();
   }
 
-  /** An endpoint's name on the list; its id in hex for one that is not on it. */
+  /** Returns the name of an endpoint, or its id in hexadecimal if it is not listed. */
   public String name(long endpointId) {
     Listing listing = listingsById.get(endpointId);
     return listing == null ? Long.toHexString(endpointId) : listing.member().id();
   }
 
-  /** Whether an endpoint is on the list and ready. */
+  /** Returns whether an endpoint is listed and ready. */
   public boolean isReady(long endpointId) {
     Listing listing = listingsById.get(endpointId);
     return listing != null && listing.member().state() == EndpointState.READY;
   }
 
-  /** Whether any endpoint is ready. */
+  /** Returns whether at least one endpoint is ready. */
   public boolean hasReadyEndpoint() {
     for (Listing listing : listingsById.values()) {
       if (listing.member().state() == EndpointState.READY) {
@@ -105,10 +108,11 @@
   }
 
   /**
-   * Accepts a list, or changes to it, unless it is outdated or empty.
+   * Applies a complete list or a delta. An outdated one is rejected, and so is a complete list
+   * without endpoints while the directory has some.
    *
-   * @param kind what the list holds
-   * @return the update as the decision engine gets it; one without changes if it was not accepted
+   * @param kind the kind of update that the list is
+   * @return the update for the decision engine; a delta without changes if the list was rejected
    */
   public EndpointListUpdate apply(UpdateKind kind, EndpointList list) {
     restartedEndpoints.clear();
@@ -122,7 +126,7 @@
     if (!isDelta) {
       listingsById.clear();
     }
-    // All of them first: the ages of the others follow from the latest start.
+    // All start times are observed first: the latest one determines the ages of all endpoints.
     list.members().forEach(member -> startTimes.observe(member.upSinceMillis(), now));
     List<Endpoint> endpoints = new ArrayList<>();
     for (Member member : list.members()) {
@@ -139,7 +143,10 @@
     return list.members().stream().map(Member::id).toList();
   }
 
-  /** An endpoint that left gets the same id if it returns; until then nothing is stored for it. */
+  /**
+   * Removes the stored ids of names that are no longer listed. Ids are derived from names, so an
+   * endpoint that returns gets the same id.
+   */
   private void removeDeparted(List<String> names) {
     for (String name : names) {
       Long id = idsByName.get(name);
@@ -165,15 +172,15 @@
     return listing;
   }
 
-  /** Endpoints that, by the last call of {@link #apply}, are another incarnation than before. */
+  /** Returns the endpoints that the last call of {@link #apply} replaced by a new incarnation. */
   public List<Long> restartedEndpoints() {
     return restartedEndpoints;
   }
 
   /**
-   * Whether a list may replace the present one. A discovery that lags sends older versions, which
-   * would bring back endpoints that have gone; one that has just lost its list sends an empty one,
-   * without which the endpoints are still served. A list without a version is never outdated.
+   * Returns whether a list may be applied. A lagging discovery sends older revisions, which would
+   * bring back endpoints that are gone. A discovery that has lost its state sends an empty list;
+   * the known endpoints remain in use then. A list without a revision is never outdated.
    */
   private boolean isAcceptable(UpdateKind kind, EndpointList list, long now) {
     boolean isOutdated = list.revision() > 0 && list.revision() < revision;
@@ -186,7 +193,7 @@
     return !isDiscoveryBehind && !wouldEmptyList;
   }
 
-  /** The list as it was last accepted, for a decision engine that starts anew. */
+  /** Returns all listed endpoints as a cached update, for a newly created decision engine. */
   public EndpointListUpdate snapshot() {
     long now = clock.nowNanos();
     List<Endpoint> endpoints = new ArrayList<>();
@@ -195,9 +202,9 @@
   }
 
   /**
-   * The id of a name that has none. Ids decide which keys an endpoint serves, and every instance,
-   * also after a restart, has to place the same keys alike; so they are computed from the name
-   * alone, by 64-bit FNV-1a. Two names with one hash are told apart by the order of their arrival.
+   * Returns a new id for a name. Ids determine which keys an endpoint serves, and all instances
+   * must agree on this, also after a restart. Therefore the id is the 64-bit FNV-1a hash of the
+   * name. If two names have the same hash, the one that is listed later gets the next free id.
    */
   private long newId(String name) {
     long hash = FNV_OFFSET_BASIS;
--- a/src/main/java/loadbalancer/discovery/EndpointList.java
+++ b/src/main/java/loadbalancer/discovery/EndpointList.java
@@ -5,27 +5,28 @@
 import loadbalancer.decision.api.EndpointState;
 
 /**
- * A message of discovery: the endpoint list or changes to it.
+ * A message from discovery that holds the complete endpoint list or changes to it.
  *
- * @param revision the version that the list has with this message; 0 if none is stated
- * @param complete whether {@code members} are all endpoints; otherwise they are those that changed
+ * @param revision the revision of the list after this message; 0 if none is stated
+ * @param complete true if {@code members} are all endpoints, false if they are the changed ones
  * @param members the endpoints
  */
 public record EndpointList(long revision, boolean complete, List<Member> members) {
 
-  /** The list of nobody. */
+  /** A complete list without endpoints and without a revision. */
   public static final EndpointList EMPTY = new EndpointList(0, true, List.of());
 
   /**
    * One endpoint.
    *
-   * @param id its name, the same for all its incarnations
-   * @param address where it listens
-   * @param zone the zone it runs in
-   * @param cell the part of the zone within which it may share deduplication with others
-   * @param state whether it takes new work
-   * @param weight compares endpoints with one another
-   * @param upSinceMillis Unix time at which this incarnation started, in ms; 0 for long ago
+   * @param id the name of the endpoint, which all its incarnations share
+   * @param address the address on which it listens
+   * @param zone the zone in which it runs
+   * @param cell the part of the zone within which endpoints may share deduplication
+   * @param state whether it accepts new requests
+   * @param weight its weight relative to the other endpoints
+   * @param upSinceMillis the Unix time at which this incarnation started, in ms; 0 for a start long
+   *     ago
    */
   public record Member(
       String id,
@@ -36,7 +37,10 @@
       double weight,
       long upSinceMillis) {
 
-    /** Whether another one with the same name is another process, or the same one moved. */
+    /**
+     * Returns whether this entry differs from {@code other}, which has the same name, in its start
+     * time or its address, and so denotes a different process.
+     */
     boolean isDifferentIncarnation(Member other) {
       return upSinceMillis != other.upSinceMillis || !address.equals(other.address);
     }
--- a/src/main/java/loadbalancer/discovery/EndpointListParser.java
+++ b/src/main/java/loadbalancer/discovery/EndpointListParser.java
@@ -7,7 +7,7 @@
 import loadbalancer.json.JsonFields;
 import loadbalancer.net.SocketAddresses;
 
-/** Parses endpoint lists in the form that discovery and the configuration file share. */
+/** Parses endpoint lists in the JSON format that discovery and the configuration file share. */
 public final class EndpointListParser {
 
   private static final Map<String, EndpointState> PHASES =
@@ -19,9 +19,9 @@
   private EndpointListParser() {}
 
   /**
-   * Parses a list; unknown fields are skipped.
+   * Parses a list and skips unknown fields.
    *
-   * @throws loadbalancer.json.MalformedInputException if a field is not of its type
+   * @throws loadbalancer.json.MalformedInputException if a field is missing or has the wrong type
    */
   public static EndpointList parse(JsonFields list) {
     List<EndpointList.Member> members = new ArrayList<>();
--- a/src/main/java/loadbalancer/discovery/EndpointSource.java
+++ b/src/main/java/loadbalancer/discovery/EndpointSource.java
@@ -1,9 +1,13 @@
 package loadbalancer.discovery;
 
-/** Where the endpoint list comes from. Updates and failures are reported to the source's owner. */
+/** A source of the endpoint list, which reports updates and failures to its owner. */
 public interface EndpointSource {
 
-  /** Subscribes to changes of the list, anew if there is a subscription, or ends it. */
+  /**
+   * Starts or ends a watch on the list. Starting replaces a watch that is already open.
+   *
+   * @param enabled true to start a watch, false to end it
+   */
   void watch(boolean enabled);
 
   /** Fetches the complete list once. */
--- a/src/main/java/loadbalancer/discovery/StartTimeEstimator.java
+++ b/src/main/java/loadbalancer/discovery/StartTimeEstimator.java
@@ -3,25 +3,26 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Says when endpoints started, on this process's monotonic clock. Discovery states starts by a wall
- * clock; this machine's own may be off by any span, or be stepped, so it is not read. What holds
- * without it: a start that is stated has happened, and spans between stated starts are right. So
- * the clock behind the statements is never behind the latest start that was stated, plus the time
- * since then.
+ * Estimates the start times of endpoints on this process's monotonic clock. Discovery states them
+ * as wall clock times. The wall clock of this machine may be off by any amount or be stepped, so it
+ * is not read. The estimate relies on two facts: a stated start lies in the past, and the
+ * differences between stated starts are correct. Hence discovery's clock shows at least the latest
+ * stated start plus the time that has passed since it was received.
  *
- * <p>The estimate is never too early: an endpoint counts as warming for too long rather than for
- * too short, and for no longer after it was first listed than if it had started then.
+ * <p>The estimate is never too early and never after the time at which the endpoint was first
+ * listed. An endpoint may therefore warm up for too long, but not for too short a time, and not
+ * longer than if it had started when it was first listed.
  */
 final class StartTimeEstimator {
 
-  /** Least distance of the stating clock from this process's clock; grows with what is stated. */
+  /** A lower bound of discovery's clock minus this process's clock; grows with new statements. */
   private long minOffsetNanos = Long.MIN_VALUE;
 
   /**
-   * Takes note of a start.
+   * Records a stated start time.
    *
-   * @param statedUnixMillis when it was, as stated; 0 for long ago
-   * @param nowNanos the present reading of this process's clock
+   * @param statedUnixMillis the stated start, in Unix time; 0 for a start long ago
+   * @param nowNanos the current reading of this process's clock
    */
   void observe(long statedUnixMillis, long nowNanos) {
     long statedNanos = TimeUnit.MILLISECONDS.toNanos(statedUnixMillis);
@@ -31,11 +32,12 @@
   }
 
   /**
-   * The latest time at which an endpoint may have started, for one whose start was observed; 0 for
-   * long ago.
+   * Returns the latest time at which an endpoint may have started, or 0 for a start long ago. Its
+   * stated start must have been passed to {@link #observe} before.
    *
-   * @param notBeforeNanos a time before which it has not started in any case
-   * @param nowNanos the present reading of this process's clock
+   * @param statedUnixMillis the stated start, in Unix time; 0 for a start long ago
+   * @param notBeforeNanos a known lower bound of the start
+   * @param nowNanos the current reading of this process's clock
    */
   long startedNanos(long statedUnixMillis, long notBeforeNanos, long nowNanos) {
     if (statedUnixMillis <= 0) {
@@ -43,7 +45,7 @@
     }
     long statedNanos = TimeUnit.MILLISECONDS.toNanos(statedUnixMillis);
     if (statedNanos == Long.MAX_VALUE) {
-      return nowNanos; // No time that a clock can show.
+      return nowNanos; // The stated time is out of range.
     }
     return Math.max(1, Math.max(notBeforeNanos, statedNanos - minOffsetNanos));
   }
--- a/src/main/java/loadbalancer/discovery/StreamLimits.java
+++ b/src/main/java/loadbalancer/discovery/StreamLimits.java
@@ -3,8 +3,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Keeps account of the time limits of one call. TCP alone does not show that the other side is
- * gone; so a call is over when nothing arrives, no first list, or only a part of a list.
+ * Tracks the time limits of one call. TCP does not always report that the peer is gone, so a call
+ * fails if it receives no data, no first list or only a part of a list in time.
  */
 final class StreamLimits {
 
@@ -14,37 +14,38 @@
   private long lastReceivedNanos = openedNanos;
   private boolean hasReceivedList;
 
-  /** When the request was sent, while nothing has been received since; 0 else. */
+  /** The time at which the request was sent; 0 unless its response is awaited. */
   private long awaitingResponseSinceNanos;
 
   private boolean isWithinList;
 
-  /** When the list began that is incomplete, if {@link #isWithinList}. */
+  /** The time at which the first byte of the incomplete list arrived, if {@link #isWithinList}. */
   private long listStartedNanos;
 
   /**
-   * Limits that run from now on.
+   * Creates limits that start to run now.
    *
-   * @param firstListTimeoutMillis the time for the first list, in ms
-   * @param firstByteTimeoutMillis the time from the request to the first byte of a response, in ms
+   * @param firstListTimeoutMillis the maximum time until the first list, in ms
+   * @param firstByteTimeoutMillis the maximum time from the request to the first byte of the
+   *     response, in ms
    */
   StreamLimits(long firstListTimeoutMillis, long firstByteTimeoutMillis) {
     this.firstListTimeoutMillis = firstListTimeoutMillis;
     this.firstByteTimeoutMillis = firstByteTimeoutMillis;
   }
 
-  /** The request was sent. */
+  /** Records that the request was sent. */
   void requestSent() {
     awaitingResponseSinceNanos = System.nanoTime();
   }
 
-  /** Something was received, be it an empty line. */
+  /** Records that data was received, which may be just an empty line. */
   void received() {
     lastReceivedNanos = System.nanoTime();
     awaitingResponseSinceNanos = 0;
   }
 
-  /** What was received last left a list incomplete, or it did not. */
+  /** Records whether the data received last ends within a list. */
   void setWithinList(boolean isWithin) {
     if (isWithin && !isWithinList) {
       listStartedNanos = lastReceivedNanos;
@@ -52,22 +53,22 @@
     isWithinList = isWithin;
   }
 
-  /** A list is complete. What has been received of the next one begins anew. */
+  /** Records that a list is complete, so that the time for the next one starts anew. */
   void listCompleted() {
     isWithinList = false;
   }
 
-  /** A complete list was well-formed. */
+  /** Records that a well-formed list was received. */
   void listAccepted() {
     hasReceivedList = true;
   }
 
-  /** Whether a well-formed list has arrived. */
+  /** Returns whether a well-formed list has been received. */
   boolean hasReceivedList() {
     return hasReceivedList;
   }
 
-  /** The limit that is exceeded; null if none is. */
+  /** Returns the failure for the limit that is exceeded, or null if none is. */
   DiscoveryFailure exceededLimit() {
     if (isSilent()) {
       return DiscoveryFailure.SILENT;
@@ -78,7 +79,10 @@
     return isOverdue ? DiscoveryFailure.LIST_INCOMPLETE : null;
   }
 
-  /** Before the first list, empty lines are no sign of life. */
+  /**
+   * Returns whether the time for the first byte, the first list or further data is over. Before the
+   * first list, empty lines do not extend the time.
+   */
   private boolean isSilent() {
     if (awaitingResponseSinceNanos != 0
         && hasElapsed(awaitingResponseSinceNanos, firstByteTimeoutMillis)) {
--- a/src/test/java/loadbalancer/discovery/DiscoveryFailureTest.java
+++ b/src/test/java/loadbalancer/discovery/DiscoveryFailureTest.java
@@ -19,9 +19,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Every failure of a call is noticed and reported. */
+/** Tests that every failure of a discovery call is detected and reported. */
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
-@SuppressWarnings("try") // The proxy runs while its engine is asked.
+@SuppressWarnings("try") // The proxy runs while the test reads the events of its engine.
 class DiscoveryFailureTest {
 
   @ParameterizedTest
@@ -47,7 +47,7 @@
     }
   }
 
-  /** The empty lines go on, so that the watch is not silent. */
+  /** Empty lines follow the incomplete list, so the watch does not fail as silent. */
   @Test
   void reportsAListThatIsCutOffWithinAWatch() throws Exception {
     ScriptedEngine engine = watchingEngine();
--- a/src/test/java/loadbalancer/discovery/DiscoveryRecoveryTest.java
+++ b/src/test/java/loadbalancer/discovery/DiscoveryRecoveryTest.java
@@ -34,16 +34,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** After failures of any kind an update arrives within the time that the protocol allows. */
+/** Tests that an update arrives before the update deadline after failures of any kind. */
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
-@SuppressWarnings("try") // The proxy runs while its engine is asked.
+@SuppressWarnings("try") // The proxy runs while the test reads the events of its engine.
 class DiscoveryRecoveryTest {
 
   private static final String DRAINING_MEMBER = DiscoveryTestSupport.member("draining");
 
   /**
-   * A watch falls silent, and the one that replaces it connects and is dead as well. That once took
-   * more than 9 s.
+   * A watch falls silent, and the watch that replaces it connects but receives no list. With longer
+   * timeouts an update took more than 9 s in this case.
    */
   @Test
   void updateArrivesInTimeAfterTwoSilentWatches() throws Exception {
@@ -81,7 +81,7 @@
     return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - nanos.get());
   }
 
-  /** How a call fails. */
+  /** A failing discovery call, with the server's behavior that makes it fail. */
   private enum FailingCall {
     SILENT(FakeServer.Connection::awaitClose),
     INCOMPLETE_HEADERS(
@@ -111,7 +111,7 @@
     MALFORMED(
         connection -> connection.write("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nnot JSON\n"));
 
-    @SuppressWarnings("ImmutableEnumChecker") // A script holds no state.
+    @SuppressWarnings("ImmutableEnumChecker") // The scripts are stateless.
     private final FakeServer.Script script;
 
     FailingCall(FakeServer.Script script) {
@@ -119,7 +119,7 @@
     }
   }
 
-  /** Calls fail several times in a row; right after the last of them began there is an update. */
+  /** Several consecutive calls fail; an update is available as soon as the last one has started. */
   @ParameterizedTest
   @CsvSource({"pushed", "on_request"})
   void updateArrivesInTimeAfterFailuresOfAnyKind(String mode) throws Exception {
@@ -168,7 +168,7 @@
     }
   }
 
-  /** The real engine, behind one that records the complete lists. */
+  /** Returns the production engine, wrapped to record complete lists. */
   private static DecisionEngine recordingEngine(
       BalancerConfig config, BlockingQueue<EndpointListUpdate> fullUpdates) {
     DecisionEngine engine = new LoadBalancingEngine(config.settings(), config.seed());
--- a/src/test/java/loadbalancer/discovery/DiscoveryTestSupport.java
+++ b/src/test/java/loadbalancer/discovery/DiscoveryTestSupport.java
@@ -12,33 +12,33 @@
 import loadbalancer.testing.ProxyFixture;
 import loadbalancer.testing.ProxyFixture.ScriptedEngine;
 
-/** What the tests of discovery share: a proxy that knows one endpoint, and its engine. */
+/** Shared helpers of the discovery tests: a proxy that knows one endpoint, and its engine. */
 final class DiscoveryTestSupport {
 
   static final String POLLED = "on_request";
   static final String PUSHED = "pushed";
 
-  /** The revision of the list that the proxy knows at its start. */
+  /** The revision of the list in the proxy's configuration. */
   static final int KNOWN_REVISION = 41;
 
   static final String READY_MEMBER = member("ready");
 
-  /** The start of a watch's response, without any list. */
+  /** The header section of a watch's response. */
   static final String WATCH_HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
   private DiscoveryTestSupport() {}
 
-  /** The endpoint that the proxy knows, in some phase. */
+  /** Returns the list entry of the known endpoint in the given phase. */
   static String member(String phase) {
     return ProxyFixture.member("s-a", "127.0.0.1:1", phase);
   }
 
-  /** Does nothing but record its events. */
+  /** Returns an engine that only records its events. */
   static ScriptedEngine passiveEngine() {
     return new ScriptedEngine((event, actions) -> {});
   }
 
-  /** Watches the list from its start on. */
+  /** Returns an engine that watches the endpoint list from its start. */
   static ScriptedEngine watchingEngine() {
     return new ScriptedEngine(
         (event, actions) -> {
@@ -58,7 +58,9 @@
     return new ProxyFixture(config(discovery, mode), engine);
   }
 
-  /** The next update's kind, number of endpoints and the first one's state. */
+  /**
+   * Returns the kind of the next update, its number of endpoints and the state of the first one.
+   */
   static String nextUpdate(ScriptedEngine engine) throws InterruptedException {
     return describe(engine.awaitEvent(EndpointListUpdate.class));
   }
--- a/src/test/java/loadbalancer/discovery/DiscoveryTimeoutsTest.java
+++ b/src/test/java/loadbalancer/discovery/DiscoveryTimeoutsTest.java
@@ -9,23 +9,23 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The time limits and backoffs, added up along the worst chains of failures. */
+/** Tests the sums of timeouts and backoffs over the worst sequences of failures. */
 class DiscoveryTimeoutsTest {
 
-  /** More failures than any backoff or limit grows with. */
+  /** Enough consecutive failures for every backoff and timeout to reach its maximum. */
   private static final int MANY_FAILURES = 20;
 
   /**
-   * Each limit is noticed at the next check. What is left of the deadline is for a busy event loop
-   * and, where lists are polled, for the service's queue.
+   * An exceeded limit is detected at the next check. The margin below the deadline allows for a
+   * busy event loop and, where lists are polled, for the queue of the discovery service.
    */
   @ParameterizedTest
   @CsvSource({"true,1000", "false,800"})
   void everySequenceOfTimeoutsAndBackoffsEndsWellBeforeUpdateDeadline(
       boolean isPushed, long marginMillis) {
     long checkMillis = DiscoveryTimeouts.CHECK_INTERVAL_MILLIS;
-    // A watch falls silent with the update; the one that replaces it is dead as well, and where
-    // lists are pushed the next one, too.
+    // A watch falls silent just before the update. The watch that replaces it receives no list, and
+    // where lists are pushed neither does the one after that.
     long silentMillis = DiscoveryTimeouts.SILENCE_TIMEOUT_MILLIS + checkMillis;
     int deadWatches = isPushed ? 2 : 1;
     for (int failures = 0; failures < deadWatches; failures++) {
@@ -36,13 +36,13 @@
     }
     silentMillis += backoffMillis(isPushed, deadWatches);
     assertWithinDeadline("silent watches", silentMillis + marginMillis);
-    // A list is cut off, and the same again.
+    // Two consecutive lists are truncated.
     long truncatedMillis =
         2 * (DiscoveryTimeouts.LIST_COMPLETION_TIMEOUT_MILLIS + checkMillis)
             + backoffMillis(isPushed, 0)
             + backoffMillis(isPushed, 1);
-    assertWithinDeadline("lists cut off", truncatedMillis + marginMillis);
-    // After a long outage: the last call that fails began just before discovery was reachable.
+    assertWithinDeadline("truncated lists", truncatedMillis + marginMillis);
+    // After a long outage, the last failing call starts just before discovery becomes reachable.
     long outageMillis =
         DiscoveryTimeouts.firstListTimeoutMillis(isPushed, MANY_FAILURES)
             + checkMillis
@@ -51,8 +51,8 @@
   }
 
   /**
-   * The agent gets a drain in the moment in which it passes over a call: another one has to be
-   * answered within the grace, with as much spare as the connection may take.
+   * The agent learns of a drain just when it leaves a call unanswered. The retry must be sent early
+   * enough to connect and be answered within the grace period of the drain.
    */
   @ParameterizedTest
   @ValueSource(longs = {300, 500, 2000})
@@ -68,7 +68,7 @@
   private static void assertWithinDeadline(String sequence, long millis) {
     assertTrue(
         millis <= DiscoveryTimeouts.UPDATE_DEADLINE_MILLIS,
-        sequence + ": " + millis + " ms with what is spared");
+        sequence + ": " + millis + " ms including the margin");
   }
 
   private static long backoffMillis(boolean isPushed, int failures) {
--- a/src/test/java/loadbalancer/discovery/DiscoveryWatchTest.java
+++ b/src/test/java/loadbalancer/discovery/DiscoveryWatchTest.java
@@ -22,9 +22,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Lists arrive whole and in order, however they are laid out and cut into pieces. */
+/** Tests that lists arrive complete and in order, whatever their layout and fragmentation. */
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
-@SuppressWarnings("try") // The proxy runs while its engine is asked.
+@SuppressWarnings("try") // The proxy runs while the test reads the events of its engine.
 class DiscoveryWatchTest {
 
   private static final String DRAINING_MEMBER =
@@ -57,7 +57,7 @@
     }
   }
 
-  /** A parser by lines would see many broken lists in an indented one. */
+  /** Guards against parsing by lines, which would split an indented list into malformed ones. */
   @Test
   void acceptsListsThatSpanSeveralLinesOrShareOne() throws Exception {
     ScriptedEngine engine = watchingEngine();
@@ -85,7 +85,7 @@
       assertEquals("FULL 2 READY", nextUpdate(engine));
       assertEquals("DELTA 1 GONE", nextUpdate(engine), "a name with braces and a quote");
       assertEquals("DELTA 1 READY", nextUpdate(engine));
-      assertEquals("DELTA 1 DRAINING", nextUpdate(engine), "two on one line");
+      assertEquals("DELTA 1 DRAINING", nextUpdate(engine), "two lists on one line");
     }
   }
 
@@ -94,7 +94,7 @@
   }
 
   /**
-   * Each piece ends one list and begins the next, for longer in all than one list may stay
+   * Each chunk ends one list and starts the next, for a longer time than a single list may remain
    * incomplete.
    */
   @Test
@@ -156,7 +156,8 @@
         ProxyFixture proxy = proxy(discovery, PUSHED, engine)) {
       engine.awaitEvent(EndpointListUpdate.class);
       assertEquals("DELTA 1 READY", nextUpdate(engine));
-      assertEquals("DELTA 1 READY", nextUpdate(engine), "again after the first watch ended");
+      assertEquals(
+          "DELTA 1 READY", nextUpdate(engine), "from a new watch after the first one ended");
     }
   }
 }
--- a/src/test/java/loadbalancer/discovery/EndpointDirectoryTest.java
+++ b/src/test/java/loadbalancer/discovery/EndpointDirectoryTest.java
@@ -14,7 +14,7 @@
 import loadbalancer.net.SocketAddresses;
 import org.junit.jupiter.api.Test;
 
-/** Ids, incarnations and start times of endpoints. */
+/** Tests the ids, incarnations and start times of endpoints. */
 class EndpointDirectoryTest {
 
   private static final long SECOND_NANOS = TimeUnit.SECONDS.toNanos(1);
@@ -32,7 +32,7 @@
     return new Member(name, address, "a", 0, EndpointState.READY, 1, upSinceMillis);
   }
 
-  /** Figures of the algorithm's authors: other ids would place the keys anew at every update. */
+  /** The values are published FNV-1a test vectors. Other ids would move keys to other endpoints. */
   @Test
   void idsAreFnv1aHashesOfTheNames() {
     assertEquals(
@@ -66,7 +66,7 @@
     return directory.apply(kind, new EndpointList(revision, true, List.of(members))).endpoints();
   }
 
-  /** The latest start may be of this moment, and others are older by what lies between. */
+  /** The endpoint with the latest start may have just started; the others are older accordingly. */
   @Test
   void startTimesKeepTheirDifferencesAndLongAgoStaysLongAgo() {
     long before = clock.nowNanos();
@@ -77,7 +77,7 @@
             member("a", 1, 0),
             member("b", 2, 1_000_000),
             member("c", 3, 1_007_000));
-    assertEquals(0, endpoints.get(0).startedNanos(), "long ago");
+    assertEquals(0, endpoints.get(0).startedNanos(), "started long ago");
     assertTrue(endpoints.get(2).startedNanos() >= before, "may have started just now");
     assertEquals(
         7 * SECOND_NANOS, endpoints.get(2).startedNanos() - endpoints.get(1).startedNanos());
@@ -93,18 +93,18 @@
     assertEquals(
         501 * SECOND_NANOS,
         later.get(0).startedNanos() - later.get(1).startedNanos(),
-        "the distance of the statements");
+        "difference between the stated starts");
   }
 
-  /** Whatever is stated: another machine's clock may be behind. */
+  /** Holds for any stated start, because the clock of the stating machine may be behind. */
   @Test
   void startSeenOnWatchIsNotBeforePreviousUpdate() {
     complete(UpdateKind.FULL, 1, member("a", 1, 9_000_000), member("b", 2, 0));
     long between = clock.nowNanos();
     delta(2, member("b", 2, 0));
     List<Endpoint> later = delta(3, member("a", 1, 5_000_000), member("c", 3, 6_000_000));
-    assertTrue(later.get(0).startedNanos() >= between, "restarted after the update before");
-    assertTrue(later.get(1).startedNanos() >= between, "listed after the update before");
+    assertTrue(later.get(0).startedNanos() >= between, "restarted after the previous update");
+    assertTrue(later.get(1).startedNanos() >= between, "listed after the previous update");
   }
 
   @Test
