--- a/src/main/java/loadbalancer/upstream/ConnectionPool.java
+++ b/src/main/java/loadbalancer/upstream/ConnectionPool.java
@@ -19,16 +19,17 @@
 import loadbalancer.net.DescriptorBudget;
 
 /**
- * Starts calls to upstream endpoints, on idle connections where one may be reused and on new ones
- * otherwise. A connection carries one call at a time, a call completes once, and nothing is sent
- * again. Owns the calls that are connecting; confined to the event loop.
+ * A pool of connections to upstream endpoints. Each call is sent on a reusable idle connection if
+ * there is one, and on a new connection otherwise. A connection carries one call at a time, a call
+ * completes exactly once, and no request is sent twice. The pool owns the calls that are waiting
+ * for a new connection. Confined to the event loop.
  */
 public final class ConnectionPool {
 
-  /** How often connections that have been idle for too long are closed, in milliseconds. */
+  /** The interval at which connections that exceed the idle timeout are closed. */
   private static final long SWEEP_INTERVAL_MILLIS = 250;
 
-  /** Wait before a connection is tried again that this machine could not make. */
+  /** The delay before connecting is retried after a failure on this machine. */
   private static final long LOCAL_RETRY_DELAY_MILLIS = 10;
 
   private final EventLoop loop;
@@ -41,9 +42,10 @@
   /**
    * Creates a pool that runs on the bootstrap's event loop.
    *
-   * @param connectTimeoutNanos how long connecting may take
-   * @param upstreamIdleNanos the time after which upstreams close idle connections
-   * @param isReady whether the endpoint with an id accepts new requests
+   * @param descriptors the limit on open file descriptors, with which connections are registered
+   * @param connectTimeoutNanos the maximum time to establish a connection
+   * @param upstreamIdleNanos the idle time after which upstreams close connections
+   * @param isReady tests whether the endpoint with an id accepts new requests
    */
   public ConnectionPool(
       Bootstrap bootstrap,
@@ -77,10 +79,10 @@
   /**
    * Starts a call.
    *
-   * @param request makes the request right before it is written, and not at all if it is not: a
-   *     connection may be established late, and what the request says of the time left must hold
-   *     then
-   * @param timeoutNanos the time in which the call has to complete, connecting included
+   * @param request creates the request immediately before it is written, and is not called if
+   *     nothing is written: connecting takes time, and the remaining time that the request states
+   *     must be correct when it is sent
+   * @param timeoutNanos the maximum time until the call completes, including the time to connect
    */
   public void start(
       UpstreamCall call,
@@ -101,9 +103,9 @@
   }
 
   /**
-   * The connection of a call that cannot reuse one. While this machine cannot make it, for want of
-   * a descriptor or a port say, it is tried again: nothing has been sent, and the endpoint has not
-   * been asked.
+   * Opens a new connection for a call. Connecting is retried while it fails on this machine, for
+   * example for lack of a file descriptor or a port: the endpoint has not been contacted, so the
+   * failure says nothing about it.
    */
   private final class ConnectOperation {
 
@@ -130,7 +132,7 @@
       }
       ChannelFuture connect = bootstrap.connect(address);
       if (connect.isDone() && !connect.isSuccess()) {
-        // No socket could be created. Listeners to such a failure run on a thread other than the
+        // No socket could be created. Netty would notify a listener on a thread other than the
         // loop's.
         retryOrGiveUp();
         return;
@@ -151,7 +153,7 @@
       }
       connectingCalls.remove(call);
       if (call.isDone() || failure != null) {
-        // A call that was withdrawn or timed out while connecting is done and must not be written.
+        // A call that was cancelled or timed out while connecting must not be written.
         call.complete(AttemptStatus.CONNECT_FAILED, null);
         channel.close();
       } else if (!call.shouldBeSent()) {
@@ -187,10 +189,10 @@
   }
 
   /**
-   * Stops using connections to endpoints that are draining or gone: idle ones are closed, and calls
-   * that are still connecting are not sent.
+   * Stops sending new requests to endpoints that are draining or gone: closes their idle
+   * connections and cancels the calls that are still connecting to them.
    *
-   * @param endpoints whether the endpoint with an id is one of them
+   * @param endpoints tests whether the endpoint with an id is one of them
    */
   public void withdraw(LongPredicate endpoints) {
     idleConnections.closeMatching(endpoints);
@@ -206,7 +208,7 @@
     idleConnections.closeAll(endpointId);
   }
 
-  /** Closes the connection that has been idle longest, and returns false if none is idle. */
+  /** Closes the connection that has been idle longest. Returns false if there is none. */
   public boolean closeLongestIdle() {
     return idleConnections.closeLongestIdle();
   }
--- a/src/main/java/loadbalancer/upstream/IdleConnections.java
+++ b/src/main/java/loadbalancer/upstream/IdleConnections.java
@@ -9,15 +9,15 @@
 import java.util.function.LongPredicate;
 
 /**
- * The idle connections by endpoint, and the decision which may carry another call. Owns what has
- * been learned of all connections: the age at which they break and how late second responses come.
- * Confined to the event loop.
+ * The idle connections of all endpoints. Decides which of them may be reused for another call, and
+ * records the idle times after which connections break and the delay of second responses. Confined
+ * to the event loop.
  */
 final class IdleConnections {
 
   /**
-   * The part of the upstreams' idle timeout after which a connection is closed here. A request that
-   * crosses the upstream's own close on the wire would end as a reset.
+   * The idle timeout of this process as a fraction of the upstreams' idle timeout. A request that
+   * is sent while the upstream closes the connection would be reset.
    */
   private static final double IDLE_TIMEOUT_FRACTION = 0.7;
 
@@ -29,9 +29,9 @@
   private final Map<Long, ArrayDeque<UpstreamConnection>> byEndpoint = new HashMap<>();
 
   /**
-   * Creates an empty set.
+   * Creates an empty set of connections.
    *
-   * @param upstreamIdleNanos the time after which upstreams close idle connections
+   * @param upstreamIdleNanos the idle time after which upstreams close connections
    */
   IdleConnections(long upstreamIdleNanos) {
     idleTimeoutNanos = (long) (upstreamIdleNanos * IDLE_TIMEOUT_FRACTION);
@@ -51,8 +51,9 @@
   }
 
   /**
-   * Removes and returns a connection that may carry another call, or null. Those found unusable on
-   * the way are closed; those that have been idle for less than the quiet period stay.
+   * Removes and returns a connection that may carry another call, or returns null if there is none.
+   * Closes the connections that it finds unusable. Connections that have been idle for less than
+   * the quiet period are skipped and kept.
    */
   UpstreamConnection acquire(long endpointId, SocketAddress address) {
     ArrayDeque<UpstreamConnection> connections = byEndpoint.get(endpointId);
@@ -75,8 +76,9 @@
   }
 
   /**
-   * Checks the age too, although old connections are closed by {@link #closeExpired()}: that runs
-   * seldom against short idle timeouts, and late when the event loop lags.
+   * Returns whether a connection may carry another call. The idle timeout is checked here too,
+   * because {@link #closeExpired()} runs rarely compared with a short idle timeout, and late when
+   * the event loop lags.
    */
   private boolean isReusable(
       UpstreamConnection connection, SocketAddress address, long now, long idleNanos) {
@@ -86,12 +88,12 @@
         && connection.hasNothingUnread();
   }
 
-  /** Records whether a connection that was reused after an idle time has answered or has broken. */
+  /** Records whether a connection that was reused after an idle time broke before its response. */
   void recordReuse(long idleNanos, boolean broken) {
     reusePolicy.recordReuse(System.nanoTime(), idleNanos, broken);
   }
 
-  /** Records that bytes have arrived on a connection that has no call. */
+  /** Records unexpected bytes as a second response if the connection is idle. */
   void recordUnexpectedBytes(UpstreamConnection connection) {
     ArrayDeque<UpstreamConnection> connections = byEndpoint.get(connection.endpointId());
     if (connections != null && connections.contains(connection)) {
@@ -99,7 +101,7 @@
     }
   }
 
-  /** Closes the connections that have been idle for too long. */
+  /** Closes the connections that have been idle for longer than the idle timeout. */
   void closeExpired() {
     long now = System.nanoTime();
     Iterator<ArrayDeque<UpstreamConnection>> endpoints = byEndpoint.values().iterator();
@@ -114,7 +116,7 @@
     }
   }
 
-  /** Closes the connections to an endpoint. */
+  /** Closes the idle connections to an endpoint. */
   void closeAll(long endpointId) {
     ArrayDeque<UpstreamConnection> connections = byEndpoint.remove(endpointId);
     if (connections != null) {
@@ -122,7 +124,7 @@
     }
   }
 
-  /** Closes the connections to the endpoints whose ids match. */
+  /** Closes the idle connections to the endpoints whose ids match. */
   void closeMatching(LongPredicate endpoints) {
     for (long endpointId : List.copyOf(byEndpoint.keySet())) {
       if (endpoints.test(endpointId)) {
@@ -131,7 +133,7 @@
     }
   }
 
-  /** Closes the connection that has been idle longest, and returns false if there is none. */
+  /** Closes the connection that has been idle longest. Returns false if there is none. */
   boolean closeLongestIdle() {
     long now = System.nanoTime();
     UpstreamConnection longestIdle = null;
--- a/src/main/java/loadbalancer/upstream/IdleReusePolicy.java
+++ b/src/main/java/loadbalancer/upstream/IdleReusePolicy.java
@@ -3,28 +3,27 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Learns from reused connections how long one may have been idle and still work. Some upstreams, or
- * devices on the way to them, drop idle connections earlier than announced and without notice; a
- * request written to such a connection may have run and cannot always be sent again. Where
- * connections break for another reason than their age, the cost is that new ones are opened
- * needlessly until the observations have decayed.
+ * Learns from reused connections after which idle times they still work. Some upstreams, or network
+ * devices in between, drop idle connections silently and earlier than configured. A request written
+ * to such a connection may have run and cannot always be retried. If connections break for other
+ * reasons than their idle time, new ones are opened needlessly until the observations have decayed.
  */
 final class IdleReusePolicy {
 
-  /** Idle times up to this share the first age bucket; each further bucket doubles the time. */
+  /** The upper bound of the first bucket of idle times; each further bucket doubles it. */
   private static final long FIRST_BUCKET_NANOS = TimeUnit.MILLISECONDS.toNanos(16);
 
   private static final int BUCKET_COUNT = 10;
 
-  /** An age is too old if more than this part of its connections broke. */
+  /** A bucket is rejected if more than this fraction of its reused connections broke. */
   private static final double MAX_BROKEN_FRACTION = 0.25;
 
-  /** Fewer broken connections than this, by their decayed count, say nothing of an age. */
+  /** The minimum decayed count of broken connections for which a bucket is rejected. */
   private static final double MIN_BROKEN_COUNT = 2.5;
 
   /**
-   * The time in which an observation decays to 1/e of its weight, in nanoseconds, so that longer
-   * idle times are tried again.
+   * The time in which the weight of an observation decays to 1/e, so that rejected idle times are
+   * tried again.
    */
   private static final double DECAY_NANOS = TimeUnit.SECONDS.toNanos(20);
 
@@ -36,8 +35,8 @@
    * Records the outcome of a reuse.
    *
    * @param nowNanos a reading of {@link System#nanoTime()}
-   * @param idleNanos how long the connection had been idle
-   * @param broken whether it broke before its response began
+   * @param idleNanos the idle time before the reuse
+   * @param broken whether the connection broke before its response started
    */
   void recordReuse(long nowNanos, long idleNanos, boolean broken) {
     double decay = decayAt(nowNanos);
@@ -51,7 +50,8 @@
   }
 
   /**
-   * Returns whether a connection of this idle time is younger than every age at which they break.
+   * Returns whether a connection may be reused after this idle time: neither its bucket nor any
+   * bucket of shorter idle times is rejected.
    */
   boolean allowsReuse(long nowNanos, long idleNanos) {
     double decay = decayAt(nowNanos);
--- a/src/main/java/loadbalancer/upstream/LoadReport.java
+++ b/src/main/java/loadbalancer/upstream/LoadReport.java
@@ -8,17 +8,17 @@
  * The load that an upstream reports in a response header such as {@code Endpoint-Load-Metrics: TEXT
  * inflight=7, util=0.61}.
  *
- * @param metrics the reported figures by name; empty where none were reported
+ * @param metrics the reported values by metric name; empty if none were reported
  */
 public record LoadReport(Map<String, Double> metrics) {
 
-  /** A response without figures. */
+  /** A report without metrics. */
   public static final LoadReport EMPTY = new LoadReport(Map.of());
 
   private static final String HEADER = "Endpoint-Load-Metrics";
   private static final String TEXT_FORMAT = "TEXT ";
 
-  /** Parses the report in a response's headers; what is no finite number is skipped. */
+  /** Parses the report in the headers of a response; skips values that are not finite numbers. */
   public static LoadReport parse(HttpHeaders headers) {
     String text = headers.get(HEADER);
     if (text == null || !text.startsWith(TEXT_FORMAT)) {
@@ -46,7 +46,8 @@
         metrics.put(metric.substring(0, equals).trim(), value);
       }
     } catch (NumberFormatException e) {
-      // A report is a hint: one malformed figure does not void the others, let alone the response.
+      // The report is only a hint: a malformed value invalidates neither the others nor the
+      // response.
     }
   }
 }
--- a/src/main/java/loadbalancer/upstream/ResponseAggregator.java
+++ b/src/main/java/loadbalancer/upstream/ResponseAggregator.java
@@ -12,8 +12,8 @@
 import loadbalancer.http.HttpProtocol;
 
 /**
- * Joins the parts of a response. One that is too large is passed on as a failed response without
- * any of its body.
+ * Aggregates the parts of a response into a full response. Replaces a response whose body is too
+ * large by a failed one without a body.
  */
 final class ResponseAggregator extends HttpObjectAggregator {
 
--- a/src/main/java/loadbalancer/upstream/ResponseClassifier.java
+++ b/src/main/java/loadbalancer/upstream/ResponseClassifier.java
@@ -12,7 +12,7 @@
 
   private ResponseClassifier() {}
 
-  /** Returns RESET for a response that could not be decoded, and otherwise goes by its status. */
+  /** Returns RESET if the response could not be decoded, and otherwise classifies its status. */
   static AttemptStatus classify(FullHttpResponse response) {
     if (!response.decoderResult().isSuccess()) {
       return AttemptStatus.RESET;
--- a/src/main/java/loadbalancer/upstream/ResponseDecoder.java
+++ b/src/main/java/loadbalancer/upstream/ResponseDecoder.java
@@ -5,20 +5,20 @@
 import io.netty.util.AsciiString;
 
 /**
- * Decodes responses and rejects header lines without a colon. Netty's decoder takes the first word
- * of such a line for a header name, and so a response damaged there for a good one.
+ * Decodes responses and rejects header lines that have no colon right after the name. Netty's
+ * decoder takes the first word of such a line as the header name and so accepts a damaged response.
  */
 final class ResponseDecoder extends HttpResponseDecoder {
 
-  /** The first line of a response has been decoded, and its end has not been reported. */
+  /** True from the decoding of a status line until the end of that response is reported. */
   private boolean hasResponseStarted;
 
-  /** Returns whether a part of a response has come in that has not been passed on whole. */
+  /** Returns whether a response has been received in part, or not yet been reported as ended. */
   boolean hasPartialResponse() {
     return hasResponseStarted || actualReadableBytes() > 0;
   }
 
-  /** The response that had started has been passed on whole. */
+  /** Records that the current response has been passed on completely. */
   void responseEnded() {
     hasResponseStarted = false;
   }
--- a/src/main/java/loadbalancer/upstream/ResponseFramingCheck.java
+++ b/src/main/java/loadbalancer/upstream/ResponseFramingCheck.java
@@ -9,9 +9,9 @@
 import java.io.IOException;
 
 /**
- * Marks a 200 that has neither a length nor chunks as failed. Only the end of the connection would
- * mark the end of its body, and a process that dies ends it in the same way: a body cut short could
- * not be told from a complete one.
+ * Marks a response with status 200 as failed if it has neither a content length nor a chunked body.
+ * The end of such a body is marked only by the end of the connection, which a crash of the upstream
+ * causes as well, so a truncated body could not be distinguished from a complete one.
  */
 final class ResponseFramingCheck extends ChannelInboundHandlerAdapter {
 
--- a/src/main/java/loadbalancer/upstream/ResponseStartCheck.java
+++ b/src/main/java/loadbalancer/upstream/ResponseStartCheck.java
@@ -8,26 +8,26 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Sees the bytes of responses before they are decoded. Bytes that belong to no call, which would be
- * taken for the response to the next one, or that do not begin like a response end the connection;
- * so does a response that has started and does not complete in time, for which the client would
- * otherwise wait until its own deadline.
+ * Checks the received bytes before they are decoded. Closes the connection if bytes arrive while it
+ * has no call, as they would be taken for the response to the next call, or if they do not start
+ * like a response. Also closes it if a response that has started does not complete in time, as the
+ * client would otherwise wait until its own deadline.
  */
 final class ResponseStartCheck extends ChannelInboundHandlerAdapter {
 
-  /** What every response begins with. */
+  /** The first bytes of every response. */
   private static final byte[] RESPONSE_START = "HTTP/1.".getBytes(StandardCharsets.US_ASCII);
 
   /**
-   * How long a response may take from its first byte to its last, in milliseconds. One that is not
-   * complete by then has a head without an end or a length that does not fit its body.
+   * The maximum time from the first byte of a response to its last. A response that is incomplete
+   * by then has an unterminated header section or a length that does not match its body.
    */
   private static final long COMPLETION_TIMEOUT_MILLIS = 300;
 
   private final UpstreamConnection connection;
   private final ResponseDecoder decoder;
 
-  /** How many bytes of the current response have been compared with its expected start. */
+  /** The number of bytes of the current response that match {@link #RESPONSE_START}. */
   private int matchedBytes;
 
   private Future<?> completionTimeout;
@@ -37,7 +37,7 @@
     this.decoder = decoder;
   }
 
-  /** Returns whether a response has started and has not been decoded yet. */
+  /** Returns whether a response has started and is not yet complete. */
   boolean hasStarted() {
     return matchedBytes > 0;
   }
--- a/src/main/java/loadbalancer/upstream/UpstreamCall.java
+++ b/src/main/java/loadbalancer/upstream/UpstreamCall.java
@@ -9,19 +9,18 @@
 import loadbalancer.decision.api.AttemptStatus;
 
 /**
- * One request on its way to one endpoint. It completes exactly once, by whichever comes first of
- * its response, a failure, its timeout and its cancellation; what comes later is ignored. Confined
- * to the event loop.
+ * One request to one endpoint. It completes exactly once: by its response, a failure, its timeout
+ * or its cancellation, whichever comes first. Later events are ignored. Confined to the event loop.
  */
 public final class UpstreamCall {
 
-  /** Is notified once of how a call has completed. */
+  /** Receives the outcome of a call exactly once. */
   public interface CompletionListener {
 
     /**
-     * The call has completed.
+     * Called when the call has completed.
      *
-     * @param response the response, or null if there was none; the pool releases it after this call
+     * @param response the response, or null if there was none; the pool releases it afterwards
      */
     void completed(AttemptStatus status, FullHttpResponse response);
   }
@@ -30,7 +29,7 @@
   private final BooleanSupplier shouldBeSent;
   private final CompletionListener listener;
 
-  /** The connection that the call is on, from connecting or reuse until the call completes. */
+  /** The connection of the call, set when connecting or reuse starts; null after completion. */
   private Channel channel;
 
   private Future<?> timeout;
@@ -40,10 +39,10 @@
   /**
    * Creates a call that has not been started.
    *
-   * @param endpointId the endpoint that it goes to
-   * @param shouldBeSent asked right before the first byte is written: much may have happened since
-   *     the decision to send it
-   * @param listener is notified of the outcome
+   * @param endpointId the endpoint to which the request is sent
+   * @param shouldBeSent checked immediately before the request is written, because its deadline may
+   *     have passed or its endpoint may be draining by then
+   * @param listener receives the outcome
    */
   public UpstreamCall(long endpointId, BooleanSupplier shouldBeSent, CompletionListener listener) {
     this.endpointId = endpointId;
@@ -51,22 +50,22 @@
     this.listener = listener;
   }
 
-  /** Returns the endpoint that the call goes to. */
+  /** Returns the endpoint to which the request is sent. */
   public long endpointId() {
     return endpointId;
   }
 
-  /** Returns whether the call may still be sent. */
+  /** Returns whether the request should still be sent. */
   public boolean shouldBeSent() {
     return shouldBeSent.getAsBoolean();
   }
 
-  /** Returns whether the last byte has been written: from then on the request may have run. */
+  /** Returns whether the whole request has been written. From then on it may have run. */
   public boolean isWritten() {
     return isWritten;
   }
 
-  /** Completes the call unless it has completed already. */
+  /** Completes the call; does nothing if it has already completed. */
   public void complete(AttemptStatus status, FullHttpResponse response) {
     if (isDone) {
       return;
@@ -83,7 +82,7 @@
     return isDone;
   }
 
-  /** Limits the time until completion, connecting included. */
+  /** Starts the timeout of the call, which includes the time to connect. */
   void startTimeout(EventLoop loop, long timeoutNanos) {
     timeout = loop.schedule(this::timeOut, timeoutNanos, TimeUnit.NANOSECONDS);
   }
@@ -104,7 +103,10 @@
     abandon(AttemptStatus.CONNECT_FAILED, AttemptStatus.TIMEOUT);
   }
 
-  /** Stops waiting. The response may still come, so the connection cannot be reused. */
+  /**
+   * Completes the call without a response and closes its connection, which cannot be reused because
+   * the response may still arrive on it.
+   */
   private void abandon(AttemptStatus statusIfUnwritten, AttemptStatus statusIfWritten) {
     if (isDone) {
       return;
--- a/src/main/java/loadbalancer/upstream/UpstreamChannel.java
+++ b/src/main/java/loadbalancer/upstream/UpstreamChannel.java
@@ -8,8 +8,8 @@
 public final class UpstreamChannel extends InterruptTolerantChannel {
 
   /**
-   * Returns whether the kernel holds neither bytes nor the end of the stream. The check consumes a
-   * byte if there is one, so a connection for which it returns false must be closed.
+   * Returns whether neither bytes nor the end of the stream are waiting to be read. The check
+   * consumes a byte if there is one, so the connection must be closed if it returns false.
    */
   boolean hasNothingUnread() {
     try {
--- a/src/main/java/loadbalancer/upstream/UpstreamConnection.java
+++ b/src/main/java/loadbalancer/upstream/UpstreamConnection.java
@@ -18,17 +18,18 @@
 import loadbalancer.decision.api.AttemptStatus;
 
 /**
- * One connection to an endpoint and the call on it: the last handler of the connection's pipeline.
- * Once a call has completed well the connection goes to the idle ones; otherwise it is closed.
+ * One connection to an endpoint and the call on it. This is the last handler of the connection's
+ * pipeline. When a call completes with a usable response and the endpoint is ready, the connection
+ * becomes idle; otherwise it is closed.
  */
 final class UpstreamConnection extends SimpleChannelInboundHandler<FullHttpResponse> {
 
   private static final Logger LOG = Logger.getLogger(UpstreamConnection.class.getName());
 
-  /** More 1xx responses than this ahead of the final one count as endless. */
+  /** The maximum number of 1xx responses before the final response. */
   private static final int MAX_INFORMATIONAL_RESPONSES = 16;
 
-  /** Marks a connection whose call is the first one on it. */
+  /** The value of {@link #idleBeforeCallNanos} for a connection that has not been reused. */
   private static final long NOT_REUSED = -1;
 
   private final Channel channel;
@@ -42,10 +43,10 @@
 
   private long endpointId;
 
-  /** A reading of {@link System#nanoTime()}. */
+  /** The {@link System#nanoTime()} at which the connection became idle. */
   private long idleSinceNanos;
 
-  /** How long the connection had been idle before the call on it, or {@link #NOT_REUSED}. */
+  /** The idle time before the current call, or {@link #NOT_REUSED} if none is to be recorded. */
   private long idleBeforeCallNanos = NOT_REUSED;
 
   private int informationalResponses;
@@ -56,7 +57,7 @@
     this.isReady = isReady;
   }
 
-  /** Fills the pipeline of the connection's channel. */
+  /** Adds the handlers to the pipeline of the channel. */
   void addHandlers() {
     channel
         .pipeline()
@@ -73,7 +74,7 @@
     return endpointId;
   }
 
-  /** Returns how long the connection has been idle at a reading of {@link System#nanoTime()}. */
+  /** Returns the idle time of the connection at a {@link System#nanoTime()} reading. */
   long idleNanos(long nowNanos) {
     return nowNanos - idleSinceNanos;
   }
@@ -87,14 +88,14 @@
   }
 
   /**
-   * Returns whether the kernel holds neither bytes nor the end of the stream for this connection.
-   * If it does, the connection must be closed.
+   * Returns whether neither bytes nor the end of the stream are waiting to be read. If this returns
+   * false, the connection must be closed.
    */
   boolean hasNothingUnread() {
     return !(channel instanceof UpstreamChannel socket) || socket.hasNothingUnread();
   }
 
-  /** Marks that the connection carries another call after an idle time. */
+  /** Marks the connection as reused after an idle time. */
   void markReused(long idleNanos) {
     idleBeforeCallNanos = idleNanos;
   }
@@ -103,7 +104,7 @@
     channel.close();
   }
 
-  /** Writes a call's request. Takes over the request. */
+  /** Writes the request of a call and takes ownership of the request. */
   void send(UpstreamCall nextCall, FullHttpRequest request) {
     call = nextCall;
     endpointId = nextCall.endpointId();
@@ -121,13 +122,13 @@
             });
   }
 
-  /** Closes a connection on which bytes have come that are no part of a response to its call. */
+  /** Closes the connection after bytes arrived that do not belong to a response to its call. */
   void rejectUnexpectedBytes() {
     idleConnections.recordUnexpectedBytes(this);
     abort();
   }
 
-  /** Closes the connection without a usable response; the call on it, if any, may have run. */
+  /** Closes the connection and completes its call, if any, as reset; the request may have run. */
   void abort() {
     UpstreamCall aborted = call;
     call = null;
@@ -165,7 +166,7 @@
     informationalResponses = 0;
     AttemptStatus status = ResponseClassifier.classify(response);
     if (status == AttemptStatus.SUCCESS && !completed.isWritten()) {
-      // A response that came before the whole request was written answers another request.
+      // A response that arrives before the whole request is written belongs to another request.
       status = AttemptStatus.RESET;
     }
     if (status != AttemptStatus.RESET
--- a/src/main/java/loadbalancer/upstream/package-info.java
+++ b/src/main/java/loadbalancer/upstream/package-info.java
@@ -3,16 +3,18 @@
  *
  * <ul>
  *   <li>{@link loadbalancer.upstream.ConnectionPool} starts and cancels calls and opens
- *       connections;
- *   <li>{@code IdleConnections} owns the idle ones and picks which may be reused, by {@code
- *       IdleReusePolicy} (their age) and {@code SecondResponseGuard} (stray responses);
- *   <li>{@code UpstreamConnection} owns one connection and the call on it;
+ *       connections.
+ *   <li>{@code IdleConnections} owns the idle connections and selects the reusable ones with {@code
+ *       IdleReusePolicy}, which limits the idle time, and {@code SecondResponseGuard}, which
+ *       imposes a quiet period after each response.
+ *   <li>{@code UpstreamConnection} owns one connection and the call on it.
  *   <li>{@code ResponseStartCheck}, {@code ResponseDecoder}, {@code ResponseFramingCheck} and
  *       {@code ResponseAggregator} are its response pipeline, and {@code ResponseClassifier} maps
- *       the response to an attempt's status;
- *   <li>{@link loadbalancer.upstream.UpstreamCall} is one request that ends exactly once.
+ *       the response to an attempt status.
+ *   <li>{@link loadbalancer.upstream.UpstreamCall} is one request, which completes exactly once.
  * </ul>
  *
- * <p>All of it is confined to the event loop. Nothing here retries: that is decided elsewhere.
+ * <p>All classes are confined to the event loop. Requests are never retried here; only connecting
+ * is, after a failure on this machine.
  */
 package loadbalancer.upstream;
--- a/src/test/java/loadbalancer/upstream/AttemptLimitTest.java
+++ b/src/test/java/loadbalancer/upstream/AttemptLimitTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Attempts beyond the limits of the settings and of the process. */
+/** Tests the maximum number of attempts per request and the limit on file descriptors. */
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
 class AttemptLimitTest {
 
@@ -78,7 +78,7 @@
         Client first = proxy.client();
         Client second = proxy.client();
         Client third = proxy.client()) {
-      // Three connections of clients, three to upstreams.
+      // The limit leaves room for three client connections and three upstream connections.
       first.exchange(ProxyFixture.get("t1", ""));
       assertEquals(AttemptStatus.SUCCESS, engine.awaitEvent(AttemptEnded.class).status());
       List<Client> clients = List.of(second, third, first);
@@ -86,7 +86,7 @@
         clients.get(i).write(ProxyFixture.get("busy" + i, "X-Customer: true\r\n"));
         assertNotNull(
             busy.requests.poll(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS),
-            "the idle connection was closed for the third");
+            "the third connection replaces the idle one");
       }
       try (Client last = proxy.client()) {
         last.exchange(ProxyFixture.get("t4", "X-Customer: true\r\n"));
@@ -94,12 +94,12 @@
       assertEquals(
           AttemptStatus.NOT_SENT,
           engine.awaitEvent(AttemptEnded.class).status(),
-          "nothing is idle, and the endpoint is not to blame");
+          "no idle connection is left to close, and the endpoint is not at fault");
       done.countDown();
     }
   }
 
-  /** Allows as many descriptors as leave six connections beside those set aside. */
+  /** Returns a configuration whose descriptor limit leaves room for six connections. */
   private static BalancerConfig configWithSixConnections(FakeServer first, FakeServer second)
       throws Exception {
     String list =
--- a/src/test/java/loadbalancer/upstream/AttemptTimeoutTest.java
+++ b/src/test/java/loadbalancer/upstream/AttemptTimeoutTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Attempts that run out of time. */
+/** Tests attempts that exceed their timeout. */
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
 class AttemptTimeoutTest {
 
@@ -33,7 +33,7 @@
       assertEquals(
           AttemptStatus.CONNECT_FAILED,
           engine.awaitEvent(AttemptEnded.class).status(),
-          "it was never written");
+          "nothing was written");
     }
   }
 
@@ -56,7 +56,7 @@
       assertTrue(client.exchange(ProxyFixture.get("slow", "")).startsWith("HTTP/1.1 502 "));
       assertEquals(AttemptStatus.TIMEOUT, engine.awaitEvent(AttemptEnded.class).status());
       FakeServer.Connection slow = upstream.connections.take();
-      assertTrue(slow.awaitClose(), "closed before anything was sent on it");
+      assertTrue(slow.awaitClose(), "closed before the response was written");
       late.countDown();
       assertTrue(client.exchange(ProxyFixture.get("next", "")).endsWith("\r\n\r\nfresh"));
       assertEquals(1, upstream.connections.size(), "on a new connection");
--- a/src/test/java/loadbalancer/upstream/ConnectFailureTest.java
+++ b/src/test/java/loadbalancer/upstream/ConnectFailureTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Attempts whose connection is not established never ran. */
+/** Tests that attempts whose connection is not established fail with CONNECT_FAILED. */
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
 class ConnectFailureTest {
 
--- a/src/test/java/loadbalancer/upstream/ConnectionReuseTest.java
+++ b/src/test/java/loadbalancer/upstream/ConnectionReuseTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Which idle connections are reused, and when they are closed. */
+/** Tests which idle connections are reused, and when idle connections are closed. */
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
 class ConnectionReuseTest {
 
@@ -49,11 +49,11 @@
       FakeServer.Connection connection = upstream.connections.take();
       upstream.requests.take();
       assertNull(upstream.requests.poll(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.MILLISECONDS));
-      assertTrue(connection.awaitScriptEnd(), "closed without the upstream's doing");
+      assertTrue(connection.awaitScriptEnd(), "closed by the proxy, not by the upstream");
     }
   }
 
-  /** The upstream may be closing such a connection at that moment. */
+  /** The upstream may close such a connection while a request is sent on it. */
   @Test
   void doesNotReuseConnectionPastIdleTimeoutBetweenSweeps() throws Exception {
     try (FakeServer upstream = FakeServer.respondingWith(FakeServer.ok("x"))) {
@@ -67,14 +67,14 @@
         for (int i = 0; i < 10; i++) {
           String response = client.exchange(ProxyFixture.get("t" + i, ""));
           assertTrue(response.startsWith("HTTP/1.1 200 "));
-          Thread.sleep(45); // The time itself is what is tested; about every fifth meets a sweep.
+          Thread.sleep(45); // Exceeds the idle timeout; a sweep runs in about every fifth pause.
         }
       }
       assertEquals(10, upstream.connections.size());
     }
   }
 
-  /** With an upstream that drops its connections once they are idle most requests are served. */
+  /** Most requests succeed with an upstream that closes every connection at its second request. */
   @Test
   void stopsReusingConnectionsThatBreakOnReuse() throws Exception {
     int requests = 400;
--- a/src/test/java/loadbalancer/upstream/HealthCheckTest.java
+++ b/src/test/java/loadbalancer/upstream/HealthCheckTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Health checks use the connections of the pool. */
+/** Tests that health checks use pooled connections. */
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
 class HealthCheckTest {
 
--- a/src/test/java/loadbalancer/upstream/IdleReusePolicyTest.java
+++ b/src/test/java/loadbalancer/upstream/IdleReusePolicyTest.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** At which idle times connections are reused, by what has been observed. */
+/** Tests which idle times allow reuse, depending on the recorded outcomes. */
 class IdleReusePolicyTest {
 
   private static final long SECOND_NANOS = TimeUnit.SECONDS.toNanos(1);
--- a/src/test/java/loadbalancer/upstream/LoadReportTest.java
+++ b/src/test/java/loadbalancer/upstream/LoadReportTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Which figures are read from a response's headers. */
+/** Tests which metrics are parsed from the headers of a response. */
 class LoadReportTest {
 
   private static HttpHeaders headers(String value) {
--- a/src/test/java/loadbalancer/upstream/ResponseParsingTest.java
+++ b/src/test/java/loadbalancer/upstream/ResponseParsingTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What responses of upstreams mean for the attempt; {@code ~} stands for a line's end. */
+/** Tests the attempt status for upstream responses; {@code ~} stands for a line break. */
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
 class ResponseParsingTest {
 
@@ -67,7 +67,9 @@
     }
   }
 
-  /** The client would otherwise wait until its deadline: the connection stays open. */
+  /**
+   * The upstream keeps the connection open, so the client would otherwise wait until its deadline.
+   */
   @ParameterizedTest
   @CsvSource(
       delimiter = '|',
@@ -91,7 +93,7 @@
         Client client = proxy.client()) {
       assertTrue(client.exchange(ProxyFixture.get("t", "")).startsWith("HTTP/1.1 502 "));
       assertEquals(AttemptStatus.RESET, engine.awaitEvent(AttemptEnded.class).status());
-      assertTrue(upstream.connections.take().awaitClose(), "its connection is closed");
+      assertTrue(upstream.connections.take().awaitClose(), "closed by the proxy");
     }
   }
 
--- a/src/test/java/loadbalancer/upstream/SecondResponseGuardTest.java
+++ b/src/test/java/loadbalancer/upstream/SecondResponseGuardTest.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** How long connections stay unused after a response. */
+/** Tests the length of the quiet period after a response. */
 class SecondResponseGuardTest {
 
   private final SecondResponseGuard guard = new SecondResponseGuard();
--- a/src/test/java/loadbalancer/upstream/SecondResponseTest.java
+++ b/src/test/java/loadbalancer/upstream/SecondResponseTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What follows a response on its connection is not taken for the response to the next request. */
+/** Tests that bytes after a response are not taken for the response to the next request. */
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
 class SecondResponseTest {
 
@@ -56,8 +56,9 @@
   }
 
   /**
-   * A second response has arrived on an idle connection after the initial quiet period. From then
-   * on no connection is reused so soon: the next late one would be taken for another request's.
+   * A second response arrives on an idle connection after the initial quiet period. From then on
+   * the quiet period is longer: on a reused connection the next late response would be taken for
+   * the response to another request.
    */
   @Test
   void extendsQuietPeriodAfterLateSecondResponse() throws Exception {
@@ -73,7 +74,7 @@
                     boolean isFirst = request.contains("X-Trace-Id: t1");
                     connection.write(FakeServer.ok(isFirst ? "first" : "next"));
                     if (number == 1) {
-                      Thread.sleep(delayMillis); // The delay itself is what is tested.
+                      Thread.sleep(delayMillis); // Exceeds the initial quiet period.
                       connection.write(FakeServer.ok("surplus"));
                     }
                   }
@@ -85,14 +86,14 @@
       assertTrue(client.exchange(ProxyFixture.get("t2", "")).endsWith("\r\n\r\nnext"));
       Thread.sleep(15); // Longer than the initial quiet period, far shorter than the extended one.
       assertTrue(client.exchange(ProxyFixture.get("t3", "")).endsWith("\r\n\r\nnext"));
-      assertEquals(3, connections.get(), "still in its quiet period");
+      assertEquals(3, connections.get(), "the second connection is still in its quiet period");
       Thread.sleep(4 * delayMillis);
       assertTrue(client.exchange(ProxyFixture.get("t4", "")).endsWith("\r\n\r\nnext"));
-      assertEquals(3, connections.get(), "reused after it");
+      assertEquals(3, connections.get(), "reused after its quiet period");
     }
   }
 
-  /** Bytes are detected before the event loop has read them. */
+  /** Bytes are detected although the event loop has not read them. */
   @Test
   void detectsUnreadBytesOnConnection() throws Exception {
     try (ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
--- a/src/test/java/loadbalancer/upstream/SingleEndpoint.java
+++ b/src/test/java/loadbalancer/upstream/SingleEndpoint.java
@@ -5,7 +5,7 @@
 import loadbalancer.config.BalancerConfig;
 import loadbalancer.testing.ProxyFixture;
 
-/** Configurations whose endpoint list names one endpoint, s-1. */
+/** Creates configurations whose endpoint list contains only the endpoint s-1. */
 final class SingleEndpoint {
 
   /** An address on which no discovery listens. */
@@ -24,7 +24,7 @@
     return ProxyFixture.config(discovery, list(upstream));
   }
 
-  /** With a connect timeout that no test reaches. */
+  /** Returns a configuration with a connect timeout that no test reaches. */
   static BalancerConfig configWithLongConnectTimeout(String discovery, String upstream)
       throws IOException {
     int connectTimeoutMillis = 1000 * ProxyFixture.TIMEOUT_SECONDS;
--- a/src/test/java/loadbalancer/upstream/WithdrawnAttemptTest.java
+++ b/src/test/java/loadbalancer/upstream/WithdrawnAttemptTest.java
@@ -31,7 +31,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Attempts that are cancelled, or whose reason is gone before they are written. */
+/** Tests attempts that are cancelled or must no longer be sent when they could be written. */
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
 class WithdrawnAttemptTest {
 
@@ -41,7 +41,7 @@
     return ProxyFixture.list(2, false, ProxyFixture.member("s-1", upstream, "draining"));
   }
 
-  /** Starts an attempt for each request, and cancels it when the client disconnects. */
+  /** Returns an engine that starts an attempt per request and cancels it on client disconnect. */
   private static ScriptedEngine cancellingEngine() {
     return new ScriptedEngine(
         (event, out) -> {
@@ -109,8 +109,9 @@
   }
 
   /**
-   * Upstreams drop the retry of a request with an idempotency key for a time, and it may be retried
-   * within that time only. The retry is decided within it, and its connection established after it.
+   * Upstreams deduplicate requests with the same idempotency key only within a time window, so a
+   * request may be retried only within that window. Here the retry is decided within the window but
+   * its connection is established after it.
    */
   @Test
   void doesNotWriteRetryWhoseConnectionIsEstablishedAfterDedupWindow() throws Exception {
@@ -145,7 +146,7 @@
           Client client = proxy.client()) {
         client.write(ProxyFixture.post("t", "Idempotency-Key: k\r\n", "body"));
         assertEquals(AttemptStatus.RESET, engine.awaitEvent(AttemptEnded.class).status());
-        Thread.sleep(400); // The window is over before the connection can be established.
+        Thread.sleep(400); // The window ends before the connection can be established.
         try (Socket connection = late.accept()) {
           assertEquals(-1, connection.getInputStream().read(), "nothing was written");
         }
@@ -156,8 +157,8 @@
   }
 
   /**
-   * An endpoint list is applied before the engine is notified of it: what the engine decides in
-   * between is not carried out.
+   * An endpoint list is applied before the engine is notified of it. An attempt that the engine
+   * starts on a draining endpoint is therefore not sent.
    */
   @Test
   void doesNotWriteAttemptDecidedBeforeEngineIsNotifiedOfDrain() throws Exception {
@@ -201,7 +202,7 @@
             new FakeServer(
                 connection -> {
                   connection.readRequest();
-                  new CountDownLatch(1).await(); // Neither responds nor closes: only the proxy can.
+                  new CountDownLatch(1).await(); // Only the proxy can close the connection.
                 });
         ProxyFixture proxy = new ProxyFixture(SingleEndpoint.config(upstream.address()), engine)) {
       FakeServer.Connection connection;
@@ -209,7 +210,7 @@
         client.write(ProxyFixture.get("t", ""));
         assertNotNull(upstream.requests.poll(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS));
         connection = upstream.connections.take();
-        // A reset: a client that has only ended its sending may still be listening.
+        // Reset the connection: a half-closed client would still wait for the response.
         client.socket.setSoLinger(true, 0);
       }
       assertEquals(AttemptStatus.CANCELLED, engine.awaitEvent(AttemptEnded.class).status());
