--- a/src/test/java/loadbalancer/proxy/AttemptEndOrderTest.java
+++ b/src/test/java/loadbalancer/proxy/AttemptEndOrderTest.java
@@ -21,7 +21,7 @@
 import loadbalancer.decision.api.Event.RequestArrived;
 import loadbalancer.decision.api.UpdateKind;
 import loadbalancer.testing.DiscoveryMessages;
-import loadbalancer.testing.EventLoopSteps;
+import loadbalancer.testing.EventLoopStepQueue;
 import loadbalancer.testing.FakeServer;
 import loadbalancer.testing.ProxyFixture;
 import loadbalancer.testing.ProxyFixture.Client;
@@ -43,7 +43,7 @@
   private static final long TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
   private static final long LONG_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(30);
 
-  private final EventLoopSteps cues = new EventLoopSteps();
+  private final EventLoopStepQueue cues = new EventLoopStepQueue();
 
   /**
    * An upstream whose connections do as they are told; they have done it when {@link #does}
@@ -137,7 +137,7 @@
         cues.add(
             actions -> {
               upstream.does(ends.upstream);
-              write(second, ProxyFixture.get("cue-2", EventLoopSteps.TRIGGER_HEADER));
+              write(second, ProxyFixture.get("cue-2", EventLoopStepQueue.TRIGGER_HEADER));
             });
         cues.add(actions -> actions.accept(new CancelAttempt("r0", 0)));
       }
@@ -153,7 +153,7 @@
         cues.add(
             actions -> {
               passTimeout();
-              write(second, ProxyFixture.get("cue-2", EventLoopSteps.TRIGGER_HEADER));
+              write(second, ProxyFixture.get("cue-2", EventLoopStepQueue.TRIGGER_HEADER));
             });
         cues.add(actions -> upstream.does(ends.upstream));
       }
@@ -163,7 +163,7 @@
   }
 
   private static void passTimeout() {
-    EventLoopSteps.sleep(TimeUnit.NANOSECONDS.toMillis(TIMEOUT_NANOS) + 50);
+    EventLoopStepQueue.sleep(TimeUnit.NANOSECONDS.toMillis(TIMEOUT_NANOS) + 50);
   }
 
   private static void write(Client client, String text) {
@@ -192,7 +192,7 @@
       addCues(ends, upstream, second);
       client.write(ProxyFixture.get("t", ""));
       upstream.awaitRequest();
-      cue.exchange(ProxyFixture.get("cue-1", EventLoopSteps.TRIGGER_HEADER));
+      cue.exchange(ProxyFixture.get("cue-1", EventLoopStepQueue.TRIGGER_HEADER));
       AttemptEnded first = engine.awaitEvent(AttemptEnded.class);
       assertEquals(ends.status, first.status());
       String response = client.readResponse();
@@ -300,7 +300,7 @@
             new ProxyFixture(ProxyFixture.config(discovery.address(), known(upstream)), engine);
         Client client = proxy.client()) {
       assertTrue(client.exchange(ProxyFixture.get("t1", "")).endsWith("\r\n\r\nbefore"));
-      EventLoopSteps.sleep(50); // The connection has rested long enough to be used again.
+      EventLoopStepQueue.sleep(50); // The connection has rested long enough to be used again.
       restarted.countDown();
       for (UpdateKind kind : List.of(UpdateKind.CACHED, UpdateKind.DELTA, UpdateKind.DELTA)) {
         assertEquals(kind, engine.awaitEvent(EndpointListUpdate.class).kind());
--- a/src/test/java/loadbalancer/proxy/ReloadOrderTest.java
+++ b/src/test/java/loadbalancer/proxy/ReloadOrderTest.java
@@ -15,7 +15,7 @@
 import loadbalancer.decision.api.Event.EndpointListUpdate;
 import loadbalancer.decision.api.UpdateKind;
 import loadbalancer.testing.DiscoveryMessages;
-import loadbalancer.testing.EventLoopSteps;
+import loadbalancer.testing.EventLoopStepQueue;
 import loadbalancer.testing.FakeServer;
 import loadbalancer.testing.ProxyFixture;
 import loadbalancer.testing.ProxyFixture.Client;
@@ -38,7 +38,7 @@
 
   private static final String OTHER_DRAINING = ProxyFixture.member("s-2", NOWHERE, "draining");
 
-  private final EventLoopSteps cues = new EventLoopSteps();
+  private final EventLoopStepQueue cues = new EventLoopStepQueue();
 
   private static BalancerConfig pushed(String discovery, String known) throws IOException {
     return ProxyFixture.config(discovery, known, "pushed", 200, 1024, "");
@@ -78,15 +78,15 @@
           actions -> {
             if (shutdownFirst) {
               shutdown.start();
-              EventLoopSteps.sleep(100); // It waits for the loop by then.
+              EventLoopStepQueue.sleep(100); // It waits for the loop by then.
             }
             reload(proxy, fresh);
             if (!shutdownFirst) {
               shutdown.start();
-              EventLoopSteps.sleep(100);
+              EventLoopStepQueue.sleep(100);
             }
           });
-      String cueResponse = cue.exchange(ProxyFixture.get("cue", EventLoopSteps.TRIGGER_HEADER));
+      String cueResponse = cue.exchange(ProxyFixture.get("cue", EventLoopStepQueue.TRIGGER_HEADER));
       assertTrue(cueResponse.startsWith("HTTP/1.1 429 "));
       assertNotNull(
           fresh.connections.poll(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS),
@@ -145,7 +145,7 @@
               close.countDown();
               await(closed);
               // Read with the reset; the reload comes after both.
-              write(second, ProxyFixture.get("cue-2", EventLoopSteps.TRIGGER_HEADER));
+              write(second, ProxyFixture.get("cue-2", EventLoopStepQueue.TRIGGER_HEADER));
             } else {
               reload(proxy, fresh);
               close.countDown();
@@ -155,10 +155,10 @@
       if (closedFirst) {
         cues.add(actions -> reload(proxy, fresh));
       }
-      cue.exchange(ProxyFixture.get("cue-1", EventLoopSteps.TRIGGER_HEADER));
+      cue.exchange(ProxyFixture.get("cue-1", EventLoopStepQueue.TRIGGER_HEADER));
       EndpointListUpdate update = engine.awaitEvent(EndpointListUpdate.class);
       assertEquals(2, update.endpoints().size(), "by the new discovery's list");
-      EventLoopSteps.sleep(1000); // Longer than the wait before the agent is called again.
+      EventLoopStepQueue.sleep(1000); // Longer than the wait before the agent is called again.
       assertEquals(1, fresh.connections.size(), "one watch at the new address");
       assertNull(
           engine.events.stream()
--- a/src/test/java/loadbalancer/testing/EventLoopSteps.java
+++ b/src/test/java/loadbalancer/testing/EventLoopStepQueue.java
@@ -16,7 +16,7 @@
  * loop is blocked while a step runs. A step runs when the engine handles a request with {@link
  * #TRIGGER_HEADER}.
  */
-public final class EventLoopSteps {
+public final class EventLoopStepQueue {
 
   /** Header line of a request that triggers a step. */
   public static final String TRIGGER_HEADER = "X-Size-Hint: 7\r\n";
