--- a/src/test/java/loadbalancer/discovery/DiscoveryTestSupport.java
+++ b/src/test/java/loadbalancer/discovery/DiscoveryTestSupport.java
@@ -30,7 +30,7 @@
 
   /** Returns the list entry of the known endpoint in the given phase. */
   static String member(String phase) {
-    return ProxyFixture.member("s-a", "127.0.0.1:1", phase);
+    return ProxyFixture.endpointJson("s-a", "127.0.0.1:1", phase);
   }
 
   /** Returns an engine that only records its events. */
--- a/src/test/java/loadbalancer/discovery/DiscoveryWatchTest.java
+++ b/src/test/java/loadbalancer/discovery/DiscoveryWatchTest.java
@@ -28,7 +28,7 @@
 class DiscoveryWatchTest {
 
   private static final String DRAINING_MEMBER =
-      ProxyFixture.member("s-b", "127.0.0.1:2", "draining");
+      ProxyFixture.endpointJson("s-b", "127.0.0.1:2", "draining");
 
   @Test
   void reportsEveryListOfAWatchAndItsEnd() throws Exception {
@@ -70,7 +70,8 @@
           connection.write(DiscoveryMessages.chunk(""));
           String gone =
               indented(
-                  ProxyFixture.list(43, false, ProxyFixture.member("NAME", "127.0.0.1:1", "gone")));
+                  ProxyFixture.list(
+                      43, false, ProxyFixture.endpointJson("NAME", "127.0.0.1:1", "gone")));
           for (String line : gone.split("\n", 0)) {
             connection.write(DiscoveryMessages.chunk(line.replace("NAME", "s-a}{\\\"")));
           }
--- a/src/test/java/loadbalancer/downstream/DownstreamFixture.java
+++ b/src/test/java/loadbalancer/downstream/DownstreamFixture.java
@@ -39,7 +39,7 @@
   static BalancerConfig config(FakeServer... upstreams) throws IOException {
     String[] members = new String[upstreams.length];
     for (int i = 0; i < upstreams.length; i++) {
-      members[i] = ProxyFixture.member("s-" + (i + 1), upstreams[i].address(), "ready");
+      members[i] = ProxyFixture.endpointJson("s-" + (i + 1), upstreams[i].address(), "ready");
     }
     return ProxyFixture.config(UNREACHABLE, ProxyFixture.list(1, true, members));
   }
--- a/src/test/java/loadbalancer/downstream/MisbehavingClientTest.java
+++ b/src/test/java/loadbalancer/downstream/MisbehavingClientTest.java
@@ -265,7 +265,7 @@
 
   private static BalancerConfig configWithSockets(FakeServer upstream, int sockets)
       throws IOException {
-    String member = ProxyFixture.member("s-1", upstream.address(), "ready");
+    String member = ProxyFixture.endpointJson("s-1", upstream.address(), "ready");
     return ProxyFixture.config(
         DownstreamFixture.UNREACHABLE,
         ProxyFixture.list(1, true, member),
--- a/src/test/java/loadbalancer/proxy/AgentWatchTest.java
+++ b/src/test/java/loadbalancer/proxy/AgentWatchTest.java
@@ -71,7 +71,7 @@
   @ParameterizedTest
   @CsvSource({"CLOSED", "RESET", "WHOLE", "DOWN"})
   void learnsOfADrainWithinItsGraceWhenWatchesEndWithoutAnUpdate(End end) throws Exception {
-    String first = ProxyFixture.member("s-a", "127.0.0.1:1", "ready");
+    String first = ProxyFixture.endpointJson("s-a", "127.0.0.1:1", "ready");
     AtomicInteger watches = new AtomicInteger();
     AtomicLong toldAt = new AtomicLong();
     CountDownLatch listed = new CountDownLatch(1);
@@ -130,7 +130,7 @@
                 });
         ProxyFixture proxy =
             new ProxyFixture(
-                pushed(discovery, ProxyFixture.member("s-a", "127.0.0.1:1", "ready")),
+                pushed(discovery, ProxyFixture.endpointJson("s-a", "127.0.0.1:1", "ready")),
                 new ScriptedEngine((event, out) -> {}))) {
       assertTrue(enough.await(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS));
       long millis = TimeUnit.NANOSECONDS.toMillis(longest.get());
@@ -177,11 +177,11 @@
         FakeServer staying = FakeServer.respondingWith(FakeServer.ok("staying"));
         FakeServer discovery =
             omitting(
-                ProxyFixture.member("s-stays", staying.address(), "ready"),
-                ProxyFixture.member("s-leaves", leaving.address(), "ready"),
+                ProxyFixture.endpointJson("s-stays", staying.address(), "ready"),
+                ProxyFixture.endpointJson("s-leaves", leaving.address(), "ready"),
                 left)) {
       BalancerConfig config =
-          pushed(discovery, ProxyFixture.member("s-leaves", leaving.address(), "ready"));
+          pushed(discovery, ProxyFixture.endpointJson("s-leaves", leaving.address(), "ready"));
       LoadBalancingEngine logic = new LoadBalancingEngine(config.settings(), config.seed());
       BlockingQueue<EndpointListUpdate> told = new LinkedBlockingQueue<>();
       try (ProxyFixture proxy =
--- a/src/test/java/loadbalancer/proxy/AttemptEndOrderTest.java
+++ b/src/test/java/loadbalancer/proxy/AttemptEndOrderTest.java
@@ -175,7 +175,8 @@
   }
 
   private static String known(FakeServer upstream) {
-    return ProxyFixture.list(1, true, ProxyFixture.member("s-1", upstream.address(), "ready"));
+    return ProxyFixture.list(
+        1, true, ProxyFixture.endpointJson("s-1", upstream.address(), "ready"));
   }
 
   @ParameterizedTest
@@ -264,10 +265,12 @@
           connection.readRequest();
           restarted.await();
           String now =
-              ProxyFixture.member(back, upstream.address(), "ready")
+              ProxyFixture.endpointJson(back, upstream.address(), "ready")
                   .replace("\"up_since_ms\":0", "\"up_since_ms\":" + System.currentTimeMillis());
           String change =
-              before.equals("ready") ? now : ProxyFixture.member("s-1", upstream.address(), before);
+              before.equals("ready")
+                  ? now
+                  : ProxyFixture.endpointJson("s-1", upstream.address(), before);
           connection.write(DiscoveryMessages.watchResponse(ProxyFixture.list(2, false, change)));
           connection.write(DiscoveryMessages.chunk(ProxyFixture.list(3, false, now)));
           connection.awaitClose();
--- a/src/test/java/loadbalancer/proxy/BrokenConnectionTest.java
+++ b/src/test/java/loadbalancer/proxy/BrokenConnectionTest.java
@@ -39,7 +39,7 @@
   private static BalancerConfig one(FakeServer upstream) throws IOException {
     return ProxyFixture.config(
         NOWHERE,
-        ProxyFixture.list(1, true, ProxyFixture.member("s-1", upstream.address(), "ready")));
+        ProxyFixture.list(1, true, ProxyFixture.endpointJson("s-1", upstream.address(), "ready")));
   }
 
   /**
--- a/src/test/java/loadbalancer/proxy/ClientFloodTest.java
+++ b/src/test/java/loadbalancer/proxy/ClientFloodTest.java
@@ -35,7 +35,8 @@
     return BalancerConfig.parse(
         ProxyFixture.configText(
                 NOWHERE,
-                ProxyFixture.list(1, true, ProxyFixture.member("s-1", upstream.address(), "ready")),
+                ProxyFixture.list(
+                    1, true, ProxyFixture.endpointJson("s-1", upstream.address(), "ready")),
                 "on_request",
                 200,
                 1024,
--- a/src/test/java/loadbalancer/proxy/ConnectionCloseTest.java
+++ b/src/test/java/loadbalancer/proxy/ConnectionCloseTest.java
@@ -169,7 +169,7 @@
               ProxyFixture.config(
                   NOWHERE,
                   ProxyFixture.list(
-                      1, true, ProxyFixture.member("s-1", upstream.address(), "ready"))),
+                      1, true, ProxyFixture.endpointJson("s-1", upstream.address(), "ready"))),
               engine)) {
         started.set(proxy);
         client.setReceiveBufferSize(2048);
@@ -272,7 +272,7 @@
                 ProxyFixture.config(
                     NOWHERE,
                     ProxyFixture.list(
-                        1, true, ProxyFixture.member("s-1", upstream.address(), "ready"))),
+                        1, true, ProxyFixture.endpointJson("s-1", upstream.address(), "ready"))),
                 engine);
         Client client = proxy.client();
         Client other = proxy.client()) {
--- a/src/test/java/loadbalancer/proxy/GracefulShutdownTest.java
+++ b/src/test/java/loadbalancer/proxy/GracefulShutdownTest.java
@@ -250,7 +250,7 @@
                 ProxyFixture.config(
                     "127.0.0.1:1",
                     ProxyFixture.list(
-                        1, true, ProxyFixture.member("s-1", upstream.address(), "ready"))));
+                        1, true, ProxyFixture.endpointJson("s-1", upstream.address(), "ready"))));
         Client old = proxy.client()) {
       assertTrue(old.exchange(ProxyFixture.get("t1", "")).startsWith("HTTP/1.1 200 "));
       Thread shutdown = startShutdown(proxy);
--- a/src/test/java/loadbalancer/proxy/LargeFleetIT.java
+++ b/src/test/java/loadbalancer/proxy/LargeFleetIT.java
@@ -91,7 +91,7 @@
         IntStream.range(0, MANY)
             .mapToObj(
                 i ->
-                    ProxyFixture.member(
+                    ProxyFixture.endpointJson(
                         "upstream-with-a-long-name-" + i,
                         i == ready ? address : "127.0.0.1:1",
                         i == ready ? "ready" : "draining"))
@@ -170,7 +170,7 @@
             connection.reset();
           }
           connection.readRequest();
-          String member = ProxyFixture.member("s-listed", listed.address(), "ready");
+          String member = ProxyFixture.endpointJson("s-listed", listed.address(), "ready");
           connection.write(DiscoveryMessages.watchResponse(ProxyFixture.list(42, true, member)));
           connection.awaitClose();
         });
@@ -238,8 +238,8 @@
           ProxyFixture.list(
               41,
               true,
-              ProxyFixture.member("s-slow", slow.address(), "ready"),
-              ProxyFixture.member("s-known", known.address(), "ready"));
+              ProxyFixture.endpointJson("s-slow", slow.address(), "ready"),
+              ProxyFixture.endpointJson("s-known", known.address(), "ready"));
       int port =
           start(ProxyFixture.configText(discovery.address(), members, "pushed", 200, 256, ""), 256);
       List<Socket> open = openRequests(port, slow);
--- a/src/test/java/loadbalancer/proxy/ProxyTest.java
+++ b/src/test/java/loadbalancer/proxy/ProxyTest.java
@@ -26,7 +26,7 @@
   private static final String HEALTH = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
 
   private static BalancerConfig only(FakeServer upstream) throws IOException {
-    String member = ProxyFixture.member("s-1", upstream.address(), "ready");
+    String member = ProxyFixture.endpointJson("s-1", upstream.address(), "ready");
     return ProxyFixture.config(NOWHERE, ProxyFixture.list(1, true, member));
   }
 
--- a/src/test/java/loadbalancer/proxy/ReloadOrderTest.java
+++ b/src/test/java/loadbalancer/proxy/ReloadOrderTest.java
@@ -33,10 +33,11 @@
 class ReloadOrderTest {
 
   private static final String NOWHERE = "127.0.0.1:1";
-  private static final String READY = ProxyFixture.member("s-1", NOWHERE, "ready");
-  private static final String DRAINING = ProxyFixture.member("s-1", NOWHERE, "draining");
+  private static final String READY = ProxyFixture.endpointJson("s-1", NOWHERE, "ready");
+  private static final String DRAINING = ProxyFixture.endpointJson("s-1", NOWHERE, "draining");
 
-  private static final String OTHER_DRAINING = ProxyFixture.member("s-2", NOWHERE, "draining");
+  private static final String OTHER_DRAINING =
+      ProxyFixture.endpointJson("s-2", NOWHERE, "draining");
 
   private final EventLoopStepQueue cues = new EventLoopStepQueue();
 
--- a/src/test/java/loadbalancer/proxy/ReloadTest.java
+++ b/src/test/java/loadbalancer/proxy/ReloadTest.java
@@ -35,8 +35,8 @@
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
 class ReloadTest {
 
-  private static final String A = ProxyFixture.member("s-a", "127.0.0.1:1", "ready");
-  private static final String B = ProxyFixture.member("s-b", "127.0.0.1:2", "ready");
+  private static final String A = ProxyFixture.endpointJson("s-a", "127.0.0.1:1", "ready");
+  private static final String B = ProxyFixture.endpointJson("s-b", "127.0.0.1:2", "ready");
 
   private static FakeServer discovery(String... lines) throws IOException {
     return new FakeServer(
--- a/src/test/java/loadbalancer/proxy/RemainingTimeTest.java
+++ b/src/test/java/loadbalancer/proxy/RemainingTimeTest.java
@@ -60,8 +60,8 @@
         ProxyFixture.list(
             1,
             true,
-            ProxyFixture.member("s-1", first, "ready"),
-            ProxyFixture.member("s-2", second, "ready")),
+            ProxyFixture.endpointJson("s-1", first, "ready"),
+            ProxyFixture.endpointJson("s-2", second, "ready")),
         "on_request",
         1000 * ProxyFixture.TIMEOUT_SECONDS,
         1024,
--- a/src/test/java/loadbalancer/proxy/RequestDispatcherTest.java
+++ b/src/test/java/loadbalancer/proxy/RequestDispatcherTest.java
@@ -185,7 +185,7 @@
                 ProxyFixture.config(
                     NOWHERE,
                     ProxyFixture.list(
-                        1, true, ProxyFixture.member("s-1", upstream.address(), "ready"))),
+                        1, true, ProxyFixture.endpointJson("s-1", upstream.address(), "ready"))),
                 engine);
         Client client = proxy.client();
         Client other = proxy.client()) {
--- a/src/test/java/loadbalancer/proxy/StartupTest.java
+++ b/src/test/java/loadbalancer/proxy/StartupTest.java
@@ -30,8 +30,9 @@
 class StartupTest {
 
   private static final long LONG_MILLIS = TimeUnit.MINUTES.toMillis(1);
-  private static final String READY = ProxyFixture.member("s-a", "127.0.0.1:1", "ready");
-  private static final String DRAINING = ProxyFixture.member("s-a", "127.0.0.1:1", "draining");
+  private static final String READY = ProxyFixture.endpointJson("s-a", "127.0.0.1:1", "ready");
+  private static final String DRAINING =
+      ProxyFixture.endpointJson("s-a", "127.0.0.1:1", "draining");
 
   private static Settings settings() throws IOException {
     return BalancerConfig.read(Map.of("ROUTER_CONFIG", "deploy/example.json")).settings();
--- a/src/test/java/loadbalancer/testing/ProxyFixture.java
+++ b/src/test/java/loadbalancer/testing/ProxyFixture.java
@@ -199,7 +199,7 @@
   }
 
   /** Returns a member of discovery's list. */
-  public static String member(String name, String address, String phase) {
+  public static String endpointJson(String name, String address, String phase) {
     return """
     {"id":"%s","host_port":"%s","locality":"a","flavor":"m","cell":0,"phase":"%s",\
     "size":1.0,"up_since_ms":0}\
--- a/src/test/java/loadbalancer/upstream/AttemptLimitTest.java
+++ b/src/test/java/loadbalancer/upstream/AttemptLimitTest.java
@@ -106,8 +106,8 @@
         ProxyFixture.list(
             1,
             true,
-            ProxyFixture.member("s-1", first.address(), "ready"),
-            ProxyFixture.member("s-2", second.address(), "ready"));
+            ProxyFixture.endpointJson("s-1", first.address(), "ready"),
+            ProxyFixture.endpointJson("s-2", second.address(), "ready"));
     return ProxyFixture.config(SingleEndpoint.NO_DISCOVERY, list, "on_request", 200, 62, "");
   }
 }
--- a/src/test/java/loadbalancer/upstream/WithdrawnAttemptTest.java
+++ b/src/test/java/loadbalancer/upstream/WithdrawnAttemptTest.java
@@ -38,7 +38,7 @@
   private static final long ENDPOINT = DiscoveryMessages.endpointId("s-1");
 
   private static String drainingList(String upstream) {
-    return ProxyFixture.list(2, false, ProxyFixture.member("s-1", upstream, "draining"));
+    return ProxyFixture.list(2, false, ProxyFixture.endpointJson("s-1", upstream, "draining"));
   }
 
   /** Returns an engine that starts an attempt per request and cancels it on client disconnect. */
@@ -133,8 +133,8 @@
           ProxyFixture.list(
               1,
               true,
-              ProxyFixture.member("s-1", breaking.address(), "ready"),
-              ProxyFixture.member("s-2", late.address(), "ready"));
+              ProxyFixture.endpointJson("s-1", breaking.address(), "ready"),
+              ProxyFixture.endpointJson("s-2", late.address(), "ready"));
       int connectTimeoutMillis = 1000 * ProxyFixture.TIMEOUT_SECONDS;
       String text =
           ProxyFixture.configText(
