--- a/src/test/java/loadbalancer/discovery/DiscoveryFailureTest.java
+++ b/src/test/java/loadbalancer/discovery/DiscoveryFailureTest.java
@@ -54,7 +54,8 @@
     FakeServer.Script script =
         connection -> {
           connection.readRequest();
-          String partialList = ProxyFixture.list(42, false, READY_MEMBER).substring(0, 60);
+          String partialList =
+              ProxyFixture.endpointListJson(42, false, READY_MEMBER).substring(0, 60);
           connection.write(DiscoveryMessages.watchResponse(partialList));
           while (true) {
             connection.write(DiscoveryMessages.chunk(""));
@@ -75,7 +76,8 @@
         connection -> {
           connection.readRequest();
           connection.write(
-              DiscoveryMessages.watchResponse(ProxyFixture.list(42, false, READY_MEMBER)));
+              DiscoveryMessages.watchResponse(
+                  ProxyFixture.endpointListJson(42, false, READY_MEMBER)));
           connection.readRequest();
         };
     try (FakeServer discovery = new FakeServer(script);
--- a/src/test/java/loadbalancer/discovery/DiscoveryRecoveryTest.java
+++ b/src/test/java/loadbalancer/discovery/DiscoveryRecoveryTest.java
@@ -56,13 +56,15 @@
           switch (watches.incrementAndGet()) {
             case 1 -> {
               connection.write(
-                  DiscoveryMessages.watchResponse(ProxyFixture.list(42, true, READY_MEMBER)));
+                  DiscoveryMessages.watchResponse(
+                      ProxyFixture.endpointListJson(42, true, READY_MEMBER)));
               silentAtNanos.set(System.nanoTime());
             }
             case 2 -> connection.write(WATCH_HEAD);
             default ->
                 connection.write(
-                    DiscoveryMessages.watchResponse(ProxyFixture.list(43, false, DRAINING_MEMBER)));
+                    DiscoveryMessages.watchResponse(
+                        ProxyFixture.endpointListJson(43, false, DRAINING_MEMBER)));
           }
           connection.awaitClose();
         };
@@ -99,7 +101,8 @@
         }),
     INCOMPLETE_LIST(
         connection -> {
-          String partialList = ProxyFixture.list(42, true, READY_MEMBER).substring(0, 60);
+          String partialList =
+              ProxyFixture.endpointListJson(42, true, READY_MEMBER).substring(0, 60);
           connection.write(DiscoveryMessages.watchResponse(partialList));
           connection.awaitClose();
         }),
@@ -152,7 +155,8 @@
             failingCall.script.run(connection);
           } else {
             connection.write(
-                DiscoveryMessages.watchResponse(ProxyFixture.list(43, true, DRAINING_MEMBER)));
+                DiscoveryMessages.watchResponse(
+                    ProxyFixture.endpointListJson(43, true, DRAINING_MEMBER)));
             connection.awaitClose();
           }
         };
--- a/src/test/java/loadbalancer/discovery/DiscoveryTestSupport.java
+++ b/src/test/java/loadbalancer/discovery/DiscoveryTestSupport.java
@@ -49,7 +49,7 @@
   }
 
   static BalancerConfig config(FakeServer discovery, String mode) throws IOException {
-    String known = ProxyFixture.list(KNOWN_REVISION, true, READY_MEMBER);
+    String known = ProxyFixture.endpointListJson(KNOWN_REVISION, true, READY_MEMBER);
     return ProxyFixture.config(discovery.address(), known, mode, 200, 1024, "");
   }
 
--- a/src/test/java/loadbalancer/discovery/DiscoveryWatchTest.java
+++ b/src/test/java/loadbalancer/discovery/DiscoveryWatchTest.java
@@ -38,10 +38,10 @@
           connection.readRequest();
           String gone =
               DiscoveryMessages.chunk(
-                  ProxyFixture.list(43, false, DiscoveryTestSupport.member("gone")));
+                  ProxyFixture.endpointListJson(43, false, DiscoveryTestSupport.member("gone")));
           connection.write(
               DiscoveryMessages.watchResponse(
-                  ProxyFixture.list(42, true, READY_MEMBER, DRAINING_MEMBER)));
+                  ProxyFixture.endpointListJson(42, true, READY_MEMBER, DRAINING_MEMBER)));
           connection.write(DiscoveryMessages.chunk(""));
           connection.write(gone.substring(0, 20));
           connection.write(gone.substring(20));
@@ -66,16 +66,17 @@
           connection.readRequest();
           connection.write(
               DiscoveryMessages.watchResponse(
-                  indented(ProxyFixture.list(42, true, READY_MEMBER, DRAINING_MEMBER))));
+                  indented(
+                      ProxyFixture.endpointListJson(42, true, READY_MEMBER, DRAINING_MEMBER))));
           connection.write(DiscoveryMessages.chunk(""));
           String gone =
               indented(
-                  ProxyFixture.list(
+                  ProxyFixture.endpointListJson(
                       43, false, ProxyFixture.endpointJson("NAME", "127.0.0.1:1", "gone")));
           for (String line : gone.split("\n", 0)) {
             connection.write(DiscoveryMessages.chunk(line.replace("NAME", "s-a}{\\\"")));
           }
-          String first = ProxyFixture.list(44, false, READY_MEMBER);
+          String first = ProxyFixture.endpointListJson(44, false, READY_MEMBER);
           String second = first.replace("44", "45").replace("ready", "draining");
           connection.write(DiscoveryMessages.chunk(first + second));
           connection.readRequest();
@@ -104,10 +105,10 @@
     FakeServer.Script script =
         connection -> {
           connection.readRequest();
-          String rest = ProxyFixture.list(42, false, READY_MEMBER);
+          String rest = ProxyFixture.endpointListJson(42, false, READY_MEMBER);
           connection.write(WATCH_HEAD);
           for (int revision = 43; revision < 43 + 15; revision++) {
-            String next = ProxyFixture.list(revision, false, READY_MEMBER);
+            String next = ProxyFixture.endpointListJson(revision, false, READY_MEMBER);
             connection.write(DiscoveryMessages.chunk(rest + next.substring(0, 15)));
             rest = next.substring(15);
             Thread.sleep(100);
@@ -134,7 +135,7 @@
                 actions.accept(new FetchEndpoints());
               }
             });
-    String list = ProxyFixture.list(50, true, READY_MEMBER);
+    String list = ProxyFixture.endpointListJson(50, true, READY_MEMBER);
     try (FakeServer discovery = FakeServer.respondingWith(FakeServer.ok(list));
         ProxyFixture proxy = proxy(discovery, POLLED, engine)) {
       engine.awaitEvent(EndpointListUpdate.class);
@@ -151,7 +152,8 @@
         connection -> {
           connection.readRequest();
           connection.write(
-              DiscoveryMessages.watchResponse(ProxyFixture.list(42, false, READY_MEMBER)));
+              DiscoveryMessages.watchResponse(
+                  ProxyFixture.endpointListJson(42, false, READY_MEMBER)));
         };
     try (FakeServer discovery = new FakeServer(script);
         ProxyFixture proxy = proxy(discovery, PUSHED, engine)) {
--- a/src/test/java/loadbalancer/downstream/ClientConnectionFailureTest.java
+++ b/src/test/java/loadbalancer/downstream/ClientConnectionFailureTest.java
@@ -25,7 +25,8 @@
 
   ClientConnectionFailureTest() throws IOException {
     Settings settings =
-        ProxyFixture.config(DownstreamFixture.UNREACHABLE, ProxyFixture.list(1, true)).settings();
+        ProxyFixture.config(DownstreamFixture.UNREACHABLE, ProxyFixture.endpointListJson(1, true))
+            .settings();
     MonotonicClock clock = new MonotonicClock();
     ListenerState state = new ListenerState();
     RequestRouter router =
--- a/src/test/java/loadbalancer/downstream/ClientHalfCloseTest.java
+++ b/src/test/java/loadbalancer/downstream/ClientHalfCloseTest.java
@@ -169,7 +169,7 @@
   /** Returns a configuration with one upstream, and a connect timeout that no test reaches. */
   private static BalancerConfig configWithLongConnectTimeout(String address) throws IOException {
     String endpoints =
-        ProxyFixture.list(1, true, ProxyFixture.endpointJson("s-1", address, "ready"));
+        ProxyFixture.endpointListJson(1, true, ProxyFixture.endpointJson("s-1", address, "ready"));
     int connectTimeoutMillis = 1000 * ProxyFixture.TIMEOUT_SECONDS;
     return ProxyFixture.config(
         DownstreamFixture.UNREACHABLE, endpoints, "on_request", connectTimeoutMillis, 1024, "");
--- a/src/test/java/loadbalancer/downstream/DownstreamFixture.java
+++ b/src/test/java/loadbalancer/downstream/DownstreamFixture.java
@@ -41,7 +41,7 @@
     for (int i = 0; i < upstreams.length; i++) {
       members[i] = ProxyFixture.endpointJson("s-" + (i + 1), upstreams[i].address(), "ready");
     }
-    return ProxyFixture.config(UNREACHABLE, ProxyFixture.list(1, true, members));
+    return ProxyFixture.config(UNREACHABLE, ProxyFixture.endpointListJson(1, true, members));
   }
 
   /** Returns a server that responds to every request once it is signaled. */
--- a/src/test/java/loadbalancer/downstream/MisbehavingClientTest.java
+++ b/src/test/java/loadbalancer/downstream/MisbehavingClientTest.java
@@ -75,7 +75,7 @@
   @Test
   void rejectsOverlongRequestLinesAndHeaders() throws Exception {
     BalancerConfig config =
-        ProxyFixture.config(DownstreamFixture.UNREACHABLE, ProxyFixture.list(1, true));
+        ProxyFixture.config(DownstreamFixture.UNREACHABLE, ProxyFixture.endpointListJson(1, true));
     try (ProxyFixture proxy = new ProxyFixture(config);
         Client first = proxy.client();
         Client second = proxy.client()) {
@@ -163,7 +163,12 @@
   void rejectsAnUnknownTenantAndAnOverlongTraceId() throws Exception {
     String text =
         ProxyFixture.configText(
-            DownstreamFixture.UNREACHABLE, ProxyFixture.list(1, true), "on_request", 200, 1024, "");
+            DownstreamFixture.UNREACHABLE,
+            ProxyFixture.endpointListJson(1, true),
+            "on_request",
+            200,
+            1024,
+            "");
     String withTenants = text.replace("\"settings\":{", "\"settings\":{" + TENANTS);
     try (ProxyFixture proxy = new ProxyFixture(BalancerConfig.parse(withTenants, Map.of()));
         Client client = proxy.client()) {
@@ -187,7 +192,7 @@
       })
   void closesConnectionsWithoutACompleteRequest(String part, String expected) throws Exception {
     BalancerConfig config =
-        ProxyFixture.config(DownstreamFixture.UNREACHABLE, ProxyFixture.list(1, true));
+        ProxyFixture.config(DownstreamFixture.UNREACHABLE, ProxyFixture.endpointListJson(1, true));
     try (ProxyFixture proxy = new ProxyFixture(config);
         Client client = proxy.client()) {
       client.write(part.replace("~", "\r\n"));
@@ -232,7 +237,12 @@
   void rejectsABodyOverTheMemoryBudget() throws Exception {
     String text =
         ProxyFixture.configText(
-            DownstreamFixture.UNREACHABLE, ProxyFixture.list(1, true), "on_request", 200, 1024, "");
+            DownstreamFixture.UNREACHABLE,
+            ProxyFixture.endpointListJson(1, true),
+            "on_request",
+            200,
+            1024,
+            "");
     String smallBudget = text.replace("\"memory_mb\":192", "\"memory_mb\":1");
     try (ProxyFixture proxy = new ProxyFixture(BalancerConfig.parse(smallBudget, Map.of()));
         Client first = proxy.client();
@@ -268,7 +278,7 @@
     String member = ProxyFixture.endpointJson("s-1", upstream.address(), "ready");
     return ProxyFixture.config(
         DownstreamFixture.UNREACHABLE,
-        ProxyFixture.list(1, true, member),
+        ProxyFixture.endpointListJson(1, true, member),
         "on_request",
         200,
         sockets,
--- a/src/test/java/loadbalancer/downstream/RequestParserTest.java
+++ b/src/test/java/loadbalancer/downstream/RequestParserTest.java
@@ -31,7 +31,7 @@
   private final RequestParser parser;
 
   RequestParserTest() throws IOException {
-    String endpoints = ProxyFixture.list(1, true);
+    String endpoints = ProxyFixture.endpointListJson(1, true);
     settings = ProxyFixture.config(DownstreamFixture.UNREACHABLE, endpoints).settings();
     EventLoopLagMonitor lagMonitor =
         new EventLoopLagMonitor(new EmbeddedChannel().eventLoop(), clock);
--- a/src/test/java/loadbalancer/proxy/AgentWatchTest.java
+++ b/src/test/java/loadbalancer/proxy/AgentWatchTest.java
@@ -40,7 +40,12 @@
   private static BalancerConfig pushed(FakeServer discovery, String... members) throws IOException {
     return BalancerConfig.parse(
         ProxyFixture.configText(
-                discovery.address(), ProxyFixture.list(1, true, members), "pushed", 200, 1024, "")
+                discovery.address(),
+                ProxyFixture.endpointListJson(1, true, members),
+                "pushed",
+                200,
+                1024,
+                "")
             .replace(
                 "\"settings\":{",
                 "\"settings\":{\"contract\":{\"drain-grace-ns\":"
@@ -82,7 +87,9 @@
                   c.readRequest();
                   int number = watches.incrementAndGet();
                   if (number == 1) {
-                    c.write(DiscoveryMessages.watchResponse(ProxyFixture.list(2, true, first)));
+                    c.write(
+                        DiscoveryMessages.watchResponse(
+                            ProxyFixture.endpointListJson(2, true, first)));
                     listed.await();
                     toldAt.set(System.nanoTime());
                     end.script.run(c);
@@ -91,7 +98,8 @@
                   } else {
                     c.write(
                         DiscoveryMessages.watchResponse(
-                            ProxyFixture.list(3, true, first.replace("ready", "draining"))));
+                            ProxyFixture.endpointListJson(
+                                3, true, first.replace("ready", "draining"))));
                     c.awaitClose();
                   }
                 });
@@ -149,10 +157,12 @@
         c -> {
           c.readRequest();
           if (watches.incrementAndGet() == 1) {
-            c.write(DiscoveryMessages.watchResponse(ProxyFixture.list(2, true, stays, leaves)));
+            c.write(
+                DiscoveryMessages.watchResponse(
+                    ProxyFixture.endpointListJson(2, true, stays, leaves)));
             left.await();
           } else {
-            c.write(DiscoveryMessages.watchResponse(ProxyFixture.list(3, true, stays)));
+            c.write(DiscoveryMessages.watchResponse(ProxyFixture.endpointListJson(3, true, stays)));
             c.awaitClose();
           }
         });
--- a/src/test/java/loadbalancer/proxy/AttemptEndOrderTest.java
+++ b/src/test/java/loadbalancer/proxy/AttemptEndOrderTest.java
@@ -175,7 +175,7 @@
   }
 
   private static String known(FakeServer upstream) {
-    return ProxyFixture.list(
+    return ProxyFixture.endpointListJson(
         1, true, ProxyFixture.endpointJson("s-1", upstream.address(), "ready"));
   }
 
@@ -271,8 +271,9 @@
               before.equals("ready")
                   ? now
                   : ProxyFixture.endpointJson("s-1", upstream.address(), before);
-          connection.write(DiscoveryMessages.watchResponse(ProxyFixture.list(2, false, change)));
-          connection.write(DiscoveryMessages.chunk(ProxyFixture.list(3, false, now)));
+          connection.write(
+              DiscoveryMessages.watchResponse(ProxyFixture.endpointListJson(2, false, change)));
+          connection.write(DiscoveryMessages.chunk(ProxyFixture.endpointListJson(3, false, now)));
           connection.awaitClose();
         });
   }
--- a/src/test/java/loadbalancer/proxy/BrokenConnectionTest.java
+++ b/src/test/java/loadbalancer/proxy/BrokenConnectionTest.java
@@ -39,7 +39,8 @@
   private static BalancerConfig one(FakeServer upstream) throws IOException {
     return ProxyFixture.config(
         NOWHERE,
-        ProxyFixture.list(1, true, ProxyFixture.endpointJson("s-1", upstream.address(), "ready")));
+        ProxyFixture.endpointListJson(
+            1, true, ProxyFixture.endpointJson("s-1", upstream.address(), "ready")));
   }
 
   /**
--- a/src/test/java/loadbalancer/proxy/ClientFloodTest.java
+++ b/src/test/java/loadbalancer/proxy/ClientFloodTest.java
@@ -35,7 +35,7 @@
     return BalancerConfig.parse(
         ProxyFixture.configText(
                 NOWHERE,
-                ProxyFixture.list(
+                ProxyFixture.endpointListJson(
                     1, true, ProxyFixture.endpointJson("s-1", upstream.address(), "ready")),
                 "on_request",
                 200,
@@ -216,7 +216,7 @@
   @Test
   void timesOutAPartialRequestBehindACompleteOne() throws Exception {
     try (ProxyFixture proxy =
-            new ProxyFixture(ProxyFixture.config(NOWHERE, ProxyFixture.list(1, true)));
+            new ProxyFixture(ProxyFixture.config(NOWHERE, ProxyFixture.endpointListJson(1, true)));
         Client client = proxy.client()) {
       long from = System.nanoTime();
       client.write(HEALTH + "GET /api HT");
--- a/src/test/java/loadbalancer/proxy/ConnectionCloseTest.java
+++ b/src/test/java/loadbalancer/proxy/ConnectionCloseTest.java
@@ -79,7 +79,8 @@
               }
             });
     try (ProxyFixture proxy =
-            new ProxyFixture(ProxyFixture.config(NOWHERE, ProxyFixture.list(1, true)), engine);
+            new ProxyFixture(
+                ProxyFixture.config(NOWHERE, ProxyFixture.endpointListJson(1, true)), engine);
         Client client = proxy.client()) {
       started.set(proxy);
       asking.set(client);
@@ -112,7 +113,8 @@
               }
             });
     try (ProxyFixture proxy =
-            new ProxyFixture(ProxyFixture.config(NOWHERE, ProxyFixture.list(1, true)), engine);
+            new ProxyFixture(
+                ProxyFixture.config(NOWHERE, ProxyFixture.endpointListJson(1, true)), engine);
         Client client = proxy.client()) {
       started.set(proxy);
       asking.set(client);
@@ -168,7 +170,7 @@
           new ProxyFixture(
               ProxyFixture.config(
                   NOWHERE,
-                  ProxyFixture.list(
+                  ProxyFixture.endpointListJson(
                       1, true, ProxyFixture.endpointJson("s-1", upstream.address(), "ready"))),
               engine)) {
         started.set(proxy);
@@ -271,7 +273,7 @@
             new ProxyFixture(
                 ProxyFixture.config(
                     NOWHERE,
-                    ProxyFixture.list(
+                    ProxyFixture.endpointListJson(
                         1, true, ProxyFixture.endpointJson("s-1", upstream.address(), "ready"))),
                 engine);
         Client client = proxy.client();
@@ -324,7 +326,8 @@
     ScriptedEngine engine = connectingOnCue(started, lying, accepted);
     // At the limit of three clients the one that connected first is shed first.
     BalancerConfig config =
-        ProxyFixture.config(NOWHERE, ProxyFixture.list(1, true), "on_request", 200, 62, "");
+        ProxyFixture.config(
+            NOWHERE, ProxyFixture.endpointListJson(1, true), "on_request", 200, 62, "");
     try (ProxyFixture proxy = new ProxyFixture(config, engine);
         Client crossing = proxy.client()) {
       if (askedBefore) {
@@ -359,7 +362,8 @@
               }
             });
     try (ProxyFixture proxy =
-            new ProxyFixture(ProxyFixture.config(NOWHERE, ProxyFixture.list(1, true)), engine);
+            new ProxyFixture(
+                ProxyFixture.config(NOWHERE, ProxyFixture.endpointListJson(1, true)), engine);
         Client resting = proxy.client()) {
       assertNotNull(resting.exchange(HEALTH));
       Thread stop = new Thread(proxy.server::shutDownGracefully);
--- a/src/test/java/loadbalancer/proxy/FragmentedMessageTest.java
+++ b/src/test/java/loadbalancer/proxy/FragmentedMessageTest.java
@@ -31,7 +31,8 @@
   private static BalancerConfig one(FakeServer upstream) throws IOException {
     return ProxyFixture.config(
         NOWHERE,
-        ProxyFixture.list(1, true, ProxyFixture.endpointJson("s-1", upstream.address(), "ready")));
+        ProxyFixture.endpointListJson(
+            1, true, ProxyFixture.endpointJson("s-1", upstream.address(), "ready")));
   }
 
   /** Waits until the proxy has read from all its sockets once more, and handled what was read. */
--- a/src/test/java/loadbalancer/proxy/GracefulShutdownTest.java
+++ b/src/test/java/loadbalancer/proxy/GracefulShutdownTest.java
@@ -37,7 +37,7 @@
   private static BalancerConfig config(long deadlineMillis) throws IOException {
     String text =
         ProxyFixture.configText(
-            "127.0.0.1:1", ProxyFixture.list(1, true), "on_request", 200, 1024, "");
+            "127.0.0.1:1", ProxyFixture.endpointListJson(1, true), "on_request", 200, 1024, "");
     return BalancerConfig.parse(
         text.replace(
             "\"deadline-ns\":40000000000", "\"deadline-ns\":" + deadlineMillis * 1_000_000),
@@ -69,7 +69,7 @@
   void completesAllRequestsBeforeSigkillMayCome() throws IOException {
     String text =
         ProxyFixture.configText(
-            "127.0.0.1:1", ProxyFixture.list(1, true), "on_request", 200, 1024, "");
+            "127.0.0.1:1", ProxyFixture.endpointListJson(1, true), "on_request", 200, 1024, "");
     Settings brief =
         BalancerConfig.parse(text.replace("40000000000", "1940000000"), Map.of()).settings();
     assertTrue(GracefulShutdown.expiryMillis(brief) < 1940 + 700);
@@ -249,7 +249,7 @@
             new ProxyFixture(
                 ProxyFixture.config(
                     "127.0.0.1:1",
-                    ProxyFixture.list(
+                    ProxyFixture.endpointListJson(
                         1, true, ProxyFixture.endpointJson("s-1", upstream.address(), "ready"))));
         Client old = proxy.client()) {
       assertTrue(old.exchange(ProxyFixture.get("t1", "")).startsWith("HTTP/1.1 200 "));
--- a/src/test/java/loadbalancer/proxy/LargeFleetIT.java
+++ b/src/test/java/loadbalancer/proxy/LargeFleetIT.java
@@ -85,7 +85,7 @@
 
   /** Of many endpoints only one is ready. */
   private static String list(int revision, int ready, String address) {
-    return ProxyFixture.list(
+    return ProxyFixture.endpointListJson(
         revision,
         true,
         IntStream.range(0, MANY)
@@ -171,7 +171,8 @@
           }
           connection.readRequest();
           String member = ProxyFixture.endpointJson("s-listed", listed.address(), "ready");
-          connection.write(DiscoveryMessages.watchResponse(ProxyFixture.list(42, true, member)));
+          connection.write(
+              DiscoveryMessages.watchResponse(ProxyFixture.endpointListJson(42, true, member)));
           connection.awaitClose();
         });
   }
@@ -235,7 +236,7 @@
         FakeServer listed = FakeServer.respondingWith(FakeServer.ok("listed"));
         FakeServer discovery = discovery(up, listed)) {
       String members =
-          ProxyFixture.list(
+          ProxyFixture.endpointListJson(
               41,
               true,
               ProxyFixture.endpointJson("s-slow", slow.address(), "ready"),
--- a/src/test/java/loadbalancer/proxy/ProxyTest.java
+++ b/src/test/java/loadbalancer/proxy/ProxyTest.java
@@ -27,7 +27,7 @@
 
   private static BalancerConfig only(FakeServer upstream) throws IOException {
     String member = ProxyFixture.endpointJson("s-1", upstream.address(), "ready");
-    return ProxyFixture.config(NOWHERE, ProxyFixture.list(1, true, member));
+    return ProxyFixture.config(NOWHERE, ProxyFixture.endpointListJson(1, true, member));
   }
 
   @Test
@@ -119,7 +119,8 @@
         Client client = proxy.client()) {
       assertTrue(client.exchange(HEALTH).startsWith("HTTP/1.1 200 "));
     }
-    BalancerConfig noEndpoints = ProxyFixture.config(NOWHERE, ProxyFixture.list(1, true));
+    BalancerConfig noEndpoints =
+        ProxyFixture.config(NOWHERE, ProxyFixture.endpointListJson(1, true));
     try (ProxyFixture proxy = new ProxyFixture(noEndpoints);
         Client client = proxy.client()) {
       assertTrue(client.exchange(HEALTH).startsWith("HTTP/1.1 503 "), "no endpoint is known");
@@ -135,7 +136,7 @@
                 actions.accept(new RejectRequest(request.requestId(), 250_000_001));
               }
             });
-    BalancerConfig config = ProxyFixture.config(NOWHERE, ProxyFixture.list(1, true));
+    BalancerConfig config = ProxyFixture.config(NOWHERE, ProxyFixture.endpointListJson(1, true));
     try (ProxyFixture proxy = new ProxyFixture(config, engine);
         Client client = proxy.client()) {
       String response = client.exchange(ProxyFixture.get("t", ""));
--- a/src/test/java/loadbalancer/proxy/ReloadOrderTest.java
+++ b/src/test/java/loadbalancer/proxy/ReloadOrderTest.java
@@ -46,7 +46,8 @@
   }
 
   private static void reload(ProxyFixture proxy, FakeServer discovery) {
-    proxy.server.reload(() -> ProxyFixture.config(discovery.address(), ProxyFixture.list(1, true)));
+    proxy.server.reload(
+        () -> ProxyFixture.config(discovery.address(), ProxyFixture.endpointListJson(1, true)));
   }
 
   private static void write(Client client, String text) {
@@ -71,7 +72,8 @@
   void carriesOutAReloadAndAShutdownInOneTurn(boolean shutdownFirst) throws Exception {
     ScriptedEngine engine = cues.engine("s-1", TimeUnit.SECONDS.toNanos(30));
     try (FakeServer fresh = new FakeServer(FakeServer.Connection::awaitClose);
-        ProxyFixture proxy = new ProxyFixture(pushed(NOWHERE, ProxyFixture.list(1, true)), engine);
+        ProxyFixture proxy =
+            new ProxyFixture(pushed(NOWHERE, ProxyFixture.endpointListJson(1, true)), engine);
         Client cue = proxy.client();
         Client other = proxy.client()) {
       Thread shutdown = new Thread(proxy.server::shutDownGracefully);
@@ -117,7 +119,8 @@
     return new FakeServer(
         connection -> {
           connection.readRequest();
-          connection.write(DiscoveryMessages.watchResponse(ProxyFixture.list(2, true, READY)));
+          connection.write(
+              DiscoveryMessages.watchResponse(ProxyFixture.endpointListJson(2, true, READY)));
           close.await();
           connection.reset();
           closed.countDown();
@@ -133,9 +136,10 @@
     CountDownLatch closed = new CountDownLatch(1);
     ScriptedEngine engine = cues.engine("s-1", 0);
     try (FakeServer old = resetting(close, closed);
-        FakeServer fresh = watched(ProxyFixture.list(3, true, READY, OTHER_DRAINING));
+        FakeServer fresh = watched(ProxyFixture.endpointListJson(3, true, READY, OTHER_DRAINING));
         ProxyFixture proxy =
-            new ProxyFixture(pushed(old.address(), ProxyFixture.list(1, true, READY)), engine);
+            new ProxyFixture(
+                pushed(old.address(), ProxyFixture.endpointListJson(1, true, READY)), engine);
         Client cue = proxy.client();
         Client second = proxy.client()) {
       assertEquals(UpdateKind.CACHED, engine.awaitEvent(EndpointListUpdate.class).kind());
@@ -177,7 +181,7 @@
   void learnsOfDrainsInTimeWhenTheNewDiscoveryIsDownAtTheReload() throws Exception {
     AtomicInteger calls = new AtomicInteger();
     ScriptedEngine engine = cues.engine("s-1", 0);
-    try (FakeServer old = watched(ProxyFixture.list(2, true, READY));
+    try (FakeServer old = watched(ProxyFixture.endpointListJson(2, true, READY));
         FakeServer fresh =
             new FakeServer(
                 connection -> {
@@ -190,12 +194,14 @@
                   } else {
                     connection.readRequest();
                     connection.write(
-                        DiscoveryMessages.watchResponse(ProxyFixture.list(3, false, DRAINING)));
+                        DiscoveryMessages.watchResponse(
+                            ProxyFixture.endpointListJson(3, false, DRAINING)));
                     connection.awaitClose();
                   }
                 });
         ProxyFixture proxy =
-            new ProxyFixture(pushed(old.address(), ProxyFixture.list(1, true, READY)), engine)) {
+            new ProxyFixture(
+                pushed(old.address(), ProxyFixture.endpointListJson(1, true, READY)), engine)) {
       engine.awaitEvent(EndpointListUpdate.class);
       assertEquals(UpdateKind.FULL, engine.awaitEvent(EndpointListUpdate.class).kind());
       long reloadedAt = System.nanoTime();
--- a/src/test/java/loadbalancer/proxy/ReloadTest.java
+++ b/src/test/java/loadbalancer/proxy/ReloadTest.java
@@ -63,19 +63,19 @@
   }
 
   private static BalancerConfig polled(FakeServer discovery) throws IOException {
-    return ProxyFixture.config(discovery.address(), ProxyFixture.list(1, true, A));
+    return ProxyFixture.config(discovery.address(), ProxyFixture.endpointListJson(1, true, A));
   }
 
   private static BalancerConfig pushed(FakeServer discovery) throws IOException {
     return ProxyFixture.config(
-        discovery.address(), ProxyFixture.list(1, true, A), "pushed", 200, 1024, "");
+        discovery.address(), ProxyFixture.endpointListJson(1, true, A), "pushed", 200, 1024, "");
   }
 
   @Test
   void followsDiscoveryToItsNewAddressAtOnce() throws Exception {
     ScriptedEngine engine = watching();
-    try (FakeServer old = discovery(ProxyFixture.list(2, true, A));
-        FakeServer fresh = discovery(ProxyFixture.list(3, true, A, B));
+    try (FakeServer old = discovery(ProxyFixture.endpointListJson(2, true, A));
+        FakeServer fresh = discovery(ProxyFixture.endpointListJson(3, true, A, B));
         ProxyFixture proxy = new ProxyFixture(polled(old), engine)) {
       engine.awaitEvent(EndpointListUpdate.class);
       assertEquals(1, engine.awaitEvent(EndpointListUpdate.class).endpoints().size());
@@ -93,7 +93,7 @@
   @Test
   void changesNothingWhereTheFileCannotBeRead() throws Exception {
     ScriptedEngine engine = watching();
-    try (FakeServer discovery = discovery(ProxyFixture.list(2, true, A));
+    try (FakeServer discovery = discovery(ProxyFixture.endpointListJson(2, true, A));
         ProxyFixture proxy = new ProxyFixture(polled(discovery), engine)) {
       engine.awaitEvent(EndpointListUpdate.class);
       engine.awaitEvent(EndpointListUpdate.class);
@@ -143,7 +143,12 @@
   void prefersTheFileToTheEnvironment() throws Exception {
     String text =
         ProxyFixture.configText(
-            "127.0.0.1:8501", ProxyFixture.list(1, true, A), "on_request", 200, 1024, "");
+            "127.0.0.1:8501",
+            ProxyFixture.endpointListJson(1, true, A),
+            "on_request",
+            200,
+            1024,
+            "");
     Map<String, String> environment =
         Map.of("ROUTER_DISCOVERY", "127.0.0.1:8500", "ROUTER_NAME", "n7");
     assertEquals(8501, BalancerConfig.parse(text, environment).discoveryAddress().getPort());
--- a/src/test/java/loadbalancer/proxy/RemainingTimeTest.java
+++ b/src/test/java/loadbalancer/proxy/RemainingTimeTest.java
@@ -57,7 +57,7 @@
   private static BalancerConfig two(String first, String second) throws IOException {
     return ProxyFixture.config(
         NOWHERE,
-        ProxyFixture.list(
+        ProxyFixture.endpointListJson(
             1,
             true,
             ProxyFixture.endpointJson("s-1", first, "ready"),
--- a/src/test/java/loadbalancer/proxy/RequestDispatcherTest.java
+++ b/src/test/java/loadbalancer/proxy/RequestDispatcherTest.java
@@ -38,7 +38,7 @@
   private static final String NOWHERE = "127.0.0.1:1";
 
   private static BalancerConfig noEndpoints() throws IOException {
-    return ProxyFixture.config(NOWHERE, ProxyFixture.list(1, true));
+    return ProxyFixture.config(NOWHERE, ProxyFixture.endpointListJson(1, true));
   }
 
   @Test
@@ -135,7 +135,8 @@
               + peerAddress
               + ",";
       BalancerConfig config =
-          ProxyFixture.config(NOWHERE, ProxyFixture.list(1, true), "on_request", 200, 1024, more);
+          ProxyFixture.config(
+              NOWHERE, ProxyFixture.endpointListJson(1, true), "on_request", 200, 1024, more);
       try (ProxyFixture proxy = new ProxyFixture(config, engine);
           Client client = proxy.client()) {
         client.write(ProxyFixture.get("t", ""));
@@ -184,7 +185,7 @@
             new ProxyFixture(
                 ProxyFixture.config(
                     NOWHERE,
-                    ProxyFixture.list(
+                    ProxyFixture.endpointListJson(
                         1, true, ProxyFixture.endpointJson("s-1", upstream.address(), "ready"))),
                 engine);
         Client client = proxy.client();
--- a/src/test/java/loadbalancer/proxy/StartupTest.java
+++ b/src/test/java/loadbalancer/proxy/StartupTest.java
@@ -49,7 +49,12 @@
 
   private static BalancerConfig pushed(FakeServer discovery) throws IOException {
     return ProxyFixture.config(
-        discovery.address(), ProxyFixture.list(1, true, READY), "pushed", 200, 1024, "");
+        discovery.address(),
+        ProxyFixture.endpointListJson(1, true, READY),
+        "pushed",
+        200,
+        1024,
+        "");
   }
 
   /**
@@ -89,7 +94,8 @@
    */
   @Test
   void warmUpEndpointsServeEveryRequest() throws IOException {
-    Settings settings = ProxyFixture.config("127.0.0.1:1", ProxyFixture.list(1, true)).settings();
+    Settings settings =
+        ProxyFixture.config("127.0.0.1:1", ProxyFixture.endpointListJson(1, true)).settings();
     Count count = WarmUp.run(settings, LONG_MILLIS);
     assertEquals(new Count(WarmUp.MAX_REQUESTS, WarmUp.MAX_REQUESTS, WarmUp.MAX_REQUESTS), count);
   }
@@ -112,7 +118,8 @@
                   prepared.await(
                       DiscoveryClient.AGENT_FIRST_LIST_TIMEOUT_MILLIS / 2, TimeUnit.MILLISECONDS));
               connection.write(
-                  DiscoveryMessages.watchResponse(ProxyFixture.list(2, false, DRAINING)));
+                  DiscoveryMessages.watchResponse(
+                      ProxyFixture.endpointListJson(2, false, DRAINING)));
               connection.awaitClose();
             })) {
       ProxyServer server =
--- a/src/test/java/loadbalancer/testing/ProxyFixture.java
+++ b/src/test/java/loadbalancer/testing/ProxyFixture.java
@@ -208,7 +208,7 @@
   }
 
   /** Returns discovery's list, or changes to it. */
-  public static String list(int revision, boolean complete, String... members) {
+  public static String endpointListJson(int revision, boolean complete, String... members) {
     return """
     {"revision":%d,"complete":%b,"members":[%s]}\
     """
--- a/src/test/java/loadbalancer/upstream/AttemptLimitTest.java
+++ b/src/test/java/loadbalancer/upstream/AttemptLimitTest.java
@@ -103,7 +103,7 @@
   private static BalancerConfig configWithSixConnections(FakeServer first, FakeServer second)
       throws Exception {
     String list =
-        ProxyFixture.list(
+        ProxyFixture.endpointListJson(
             1,
             true,
             ProxyFixture.endpointJson("s-1", first.address(), "ready"),
--- a/src/test/java/loadbalancer/upstream/SingleEndpoint.java
+++ b/src/test/java/loadbalancer/upstream/SingleEndpoint.java
@@ -33,6 +33,7 @@
   }
 
   static String list(String upstream) {
-    return ProxyFixture.list(1, true, ProxyFixture.endpointJson("s-1", upstream, "ready"));
+    return ProxyFixture.endpointListJson(
+        1, true, ProxyFixture.endpointJson("s-1", upstream, "ready"));
   }
 }
--- a/src/test/java/loadbalancer/upstream/WithdrawnAttemptTest.java
+++ b/src/test/java/loadbalancer/upstream/WithdrawnAttemptTest.java
@@ -38,7 +38,8 @@
   private static final long ENDPOINT = DiscoveryMessages.endpointId("s-1");
 
   private static String drainingList(String upstream) {
-    return ProxyFixture.list(2, false, ProxyFixture.endpointJson("s-1", upstream, "draining"));
+    return ProxyFixture.endpointListJson(
+        2, false, ProxyFixture.endpointJson("s-1", upstream, "draining"));
   }
 
   /** Returns an engine that starts an attempt per request and cancels it on client disconnect. */
@@ -130,7 +131,7 @@
                 }
               });
       String list =
-          ProxyFixture.list(
+          ProxyFixture.endpointListJson(
               1,
               true,
               ProxyFixture.endpointJson("s-1", breaking.address(), "ready"),
