--- a/src/main/java/loadbalancer/downstream/DownstreamRequest.java
+++ b/src/main/java/loadbalancer/downstream/DownstreamRequest.java
@@ -16,7 +16,7 @@
  * @param unreadNanos how long the request may have waited before it was parsed: unread because the
  *     event loop lagged or accepting failed, or queued behind other pipelined requests
  * @param message the request as received, which the handler that accepts it releases
- * @param response receives the final response
+ * @param responseSink receives the final response
  */
 public record DownstreamRequest(
     String traceId,
@@ -28,5 +28,5 @@
     long deadlineNanos,
     long unreadNanos,
     FullHttpRequest message,
-    ResponseSink response)
+    ResponseSink responseSink)
     implements RoutingResult {}
--- a/src/main/java/loadbalancer/proxy/ProxiedRequest.java
+++ b/src/main/java/loadbalancer/proxy/ProxiedRequest.java
@@ -125,7 +125,7 @@
 
   /** Whether its client is there and waits, by everything that has arrived from it up to now. */
   boolean isAwaited() {
-    return !completed && !clientHalfClosed && downstream.response().isResponseAwaited();
+    return !completed && !clientHalfClosed && downstream.responseSink().isResponseAwaited();
   }
 
   /** Completes it without a response; a no-op where it is completed. */
@@ -146,7 +146,7 @@
   void respond(
       HttpResponseStatus status, long retryAfterNanos, CharSequence contentType, ByteBuf content) {
     complete();
-    downstream.response().respond(status, retryAfterNanos, contentType, content);
+    downstream.responseSink().respond(status, retryAfterNanos, contentType, content);
   }
 
   /** Whether a response may still come of an attempt that has been written, or has come. */
--- a/src/test/java/loadbalancer/downstream/ClientConnectionFailureTest.java
+++ b/src/test/java/loadbalancer/downstream/ClientConnectionFailureTest.java
@@ -93,7 +93,7 @@
     assertTrue(channel.isOpen(), "the connection stays open until the response");
     accepted
         .get(0)
-        .response()
+        .responseSink()
         .respond(HttpResponseStatus.OK, 0, "text/plain", Unpooled.EMPTY_BUFFER);
     assertTrue(sent().startsWith("HTTP/1.1 200 "));
   }
