--- a/src/main/java/loadbalancer/config/BalancerConfigParser.java
+++ b/src/main/java/loadbalancer/config/BalancerConfigParser.java
@@ -47,9 +47,9 @@
         (int) limits.integer("sockets", DEFAULT_MAX_DESCRIPTORS),
         limits.integer("memory_mb", DEFAULT_MEMORY_MIB) << BYTES_PER_MIB_SHIFT,
         addressOrNull("peer_listen"),
-        peers(),
+        instanceAddresses(),
         addressOrNull("peers_all"),
-        knownEndpoints(),
+        initialEndpoints(),
         SettingsDecoder.decode(settings),
         settings.objectOrEmpty("limits").integer("conn-idle-ns", DEFAULT_IDLE_TIMEOUT_NANOS),
         hasLoadReports(settings));
@@ -73,15 +73,15 @@
     return fields.has(name) ? SocketAddresses.parse(name, fields.text(name)) : null;
   }
 
-  private List<InetSocketAddress> peers() {
-    List<InetSocketAddress> peers = new ArrayList<>();
+  private List<InetSocketAddress> instanceAddresses() {
+    List<InetSocketAddress> addresses = new ArrayList<>();
     for (String peer : fields.textsOrEmpty("peers")) {
-      peers.add(SocketAddresses.parse("peers", peer));
+      addresses.add(SocketAddresses.parse("peers", peer));
     }
-    return peers;
+    return addresses;
   }
 
-  private EndpointList knownEndpoints() {
+  private EndpointList initialEndpoints() {
     return fields.has("known")
         ? EndpointListParser.parse(fields.object("known"))
         : EndpointList.EMPTY;
--- a/src/main/java/loadbalancer/config/SettingsDecoder.java
+++ b/src/main/java/loadbalancer/config/SettingsDecoder.java
@@ -21,20 +21,20 @@
  */
 public final class SettingsDecoder {
 
-  private static final Map<String, Idempotence> IDEMPOTENCE =
+  private static final Map<String, Idempotence> IDEMPOTENCE_KINDS =
       Map.of(
           "idempotent", Idempotence.IDEMPOTENT,
           "deduplicated", Idempotence.IDEMPOTENCY_KEY,
           "at_most_once", Idempotence.NON_IDEMPOTENT);
-  private static final Map<String, DedupScope> DEDUP_SCOPE =
+  private static final Map<String, DedupScope> DEDUP_SCOPES =
       Map.of("all", DedupScope.ALL, "zone", DedupScope.ZONE, "cell", DedupScope.CELL);
-  private static final Map<String, WeightKind> WEIGHT_KIND =
+  private static final Map<String, WeightKind> WEIGHT_KINDS =
       Map.of(
           "none", WeightKind.NONE,
           "nominal", WeightKind.NOMINAL,
           "rough", WeightKind.ROUGH,
           "live", WeightKind.LIVE);
-  private static final Map<String, Boolean> POLLED_DISCOVERY =
+  private static final Map<String, Boolean> IS_POLLED_BY_DISCOVERY_MODE =
       Map.of("pushed", false, "on_request", true);
 
   /** The safe default: a request that is not known to be idempotent never runs twice. */
@@ -56,7 +56,7 @@
   private static final long DEFAULT_CONNECT_TIMEOUT_NANOS = 250_000_000L;
 
   /** The time within which a polled list is polled again; a pushed list is not polled. */
-  private static final long DEFAULT_POLL_WITHIN_NANOS = 10_000_000_000L;
+  private static final long DEFAULT_MAX_POLL_INTERVAL_NANOS = 10_000_000_000L;
 
   /** The share of its capacity that an endpoint has when it starts. */
   private static final double DEFAULT_INITIAL_CAPACITY = 0.1;
@@ -88,7 +88,8 @@
    * @throws IllegalArgumentException if a value is out of its range
    */
   public static Settings decode(JsonFields settings) {
-    boolean polledDiscovery = settings.constant("registry-mode", POLLED_DISCOVERY, false);
+    boolean isDiscoveryPolled =
+        settings.constant("registry-mode", IS_POLLED_BY_DISCOVERY_MODE, false);
     return new Settings(
         (int) settings.integer("me", 0),
         (int) settings.integer("group-size", 1),
@@ -96,10 +97,10 @@
         classes(settings),
         tenants(settings),
         limits(settings.objectOrEmpty("limits")),
-        contract(settings.objectOrEmpty("contract"), polledDiscovery),
+        contract(settings.objectOrEmpty("contract"), isDiscoveryPolled),
         prices(settings.objectOrEmpty("prices")),
-        polledDiscovery,
-        settings.constant("weight-kind", WEIGHT_KIND, WeightKind.NONE),
+        isDiscoveryPolled,
+        settings.constant("weight-kind", WEIGHT_KINDS, WeightKind.NONE),
         settings.number("over-share-worth", DEFAULT_OVER_QUOTA_WEIGHT),
         settings.objectOrEmpty("domain").bool("warm-keys", false),
         settings.integer("resolution-ns", DEFAULT_TICK_NANOS));
@@ -121,8 +122,8 @@
     long latencyObjectiveNanos = fields.integer("aim-ns");
     return new RequestClass(
         fields.text("name"),
-        fields.constant("effect", IDEMPOTENCE, DEFAULT_IDEMPOTENCE),
-        fields.constant("dedup-scope", DEDUP_SCOPE, DEFAULT_DEDUP_SCOPE),
+        fields.constant("effect", IDEMPOTENCE_KINDS, DEFAULT_IDEMPOTENCE),
+        fields.constant("dedup-scope", DEDUP_SCOPES, DEFAULT_DEDUP_SCOPE),
         fields.integer("window-ns", 0),
         latencyObjectiveNanos,
         fields.number("aim-stretch", 0),
@@ -156,10 +157,10 @@
         fields.integer("connect-timeout-ns", DEFAULT_CONNECT_TIMEOUT_NANOS));
   }
 
-  private static ServiceContract contract(JsonFields fields, boolean polledDiscovery) {
+  private static ServiceContract contract(JsonFields fields, boolean isDiscoveryPolled) {
     return new ServiceContract(
         fields.integer("answer-slack-ns", 0),
-        fields.integer("ask-within-ns", polledDiscovery ? DEFAULT_POLL_WITHIN_NANOS : 0),
+        fields.integer("ask-within-ns", isDiscoveryPolled ? DEFAULT_MAX_POLL_INTERVAL_NANOS : 0),
         fields.integer("drain-grace-ns", 0),
         fields.number("cold-from", DEFAULT_INITIAL_CAPACITY),
         fields.integer("warm-within-ns", DEFAULT_SLOW_START_NANOS),
--- a/src/main/java/loadbalancer/json/JsonFields.java
+++ b/src/main/java/loadbalancer/json/JsonFields.java
@@ -30,10 +30,10 @@
    * @throws MalformedInputException if the text is not one JSON object
    */
   public static JsonFields parse(JsonFactory factory, String name, String text) {
-    return cast(name, JsonTextReader.read(factory, name, text));
+    return asObject(name, JsonTextReader.read(factory, name, text));
   }
 
-  private static JsonFields cast(String path, Object value) {
+  private static JsonFields asObject(String path, Object value) {
     if (value instanceof Map<?, ?> object) {
       return new JsonFields(path, object);
     }
@@ -147,7 +147,7 @@
 
   /** Returns the object in a field. */
   public JsonFields object(String name) {
-    return cast(pathOf(name), values.get(name));
+    return asObject(pathOf(name), values.get(name));
   }
 
   /** Returns the object in a field; an empty one for an absent field. */
@@ -160,7 +160,7 @@
     List<?> array = array(name);
     List<JsonFields> objects = new ArrayList<>(array.size());
     for (int i = 0; i < array.size(); i++) {
-      objects.add(cast(pathOf(name) + "[" + i + "]", array.get(i)));
+      objects.add(asObject(pathOf(name) + "[" + i + "]", array.get(i)));
     }
     return objects;
   }
--- a/src/main/java/loadbalancer/simulator/EventDecoder.java
+++ b/src/main/java/loadbalancer/simulator/EventDecoder.java
@@ -23,7 +23,7 @@
 /** Decodes the simulator's messages into events of the decision engine. */
 final class EventDecoder {
 
-  private static final Map<String, AttemptStatus> STATUSES =
+  private static final Map<String, AttemptStatus> ATTEMPT_STATUSES =
       Map.of(
           "served", AttemptStatus.SUCCESS,
           "server_error", AttemptStatus.ERROR,
@@ -33,7 +33,7 @@
           "connection_lost", AttemptStatus.RESET,
           "called_off", AttemptStatus.CANCELLED,
           "not_sent", AttemptStatus.NOT_SENT);
-  private static final Map<String, EndpointState> STATES =
+  private static final Map<String, EndpointState> ENDPOINT_STATES =
       Map.of(
           "up", EndpointState.READY,
           "draining", EndpointState.DRAINING,
@@ -105,7 +105,7 @@
         fields.text(SimulatorProtocol.REQUEST_ID),
         (int) fields.integer(SimulatorProtocol.ATTEMPT),
         fields.integer(SimulatorProtocol.ENDPOINT_ID),
-        fields.constant(SimulatorProtocol.STATUS, STATUSES),
+        fields.constant(SimulatorProtocol.STATUS, ATTEMPT_STATUSES),
         fields.integer(SimulatorProtocol.LATENCY),
         fields.bool(SimulatorProtocol.FINISHED),
         fields.numbersOrEmpty(SimulatorProtocol.LOAD_REPORT));
@@ -114,7 +114,7 @@
   private static HealthCheckResult healthCheckResult(JsonFields fields) {
     return new HealthCheckResult(
         fields.integer(SimulatorProtocol.ENDPOINT_ID),
-        fields.constant(SimulatorProtocol.STATUS, STATUSES),
+        fields.constant(SimulatorProtocol.STATUS, ATTEMPT_STATUSES),
         fields.integer(SimulatorProtocol.LATENCY),
         fields.numbersOrEmpty(SimulatorProtocol.LOAD_REPORT));
   }
@@ -145,7 +145,7 @@
         entry.integer(SimulatorProtocol.ENDPOINT_ID),
         entry.text(SimulatorProtocol.ZONE, ""),
         (int) entry.integer(SimulatorProtocol.CELL, 0),
-        entry.constant(SimulatorProtocol.STATE, STATES),
+        entry.constant(SimulatorProtocol.STATE, ENDPOINT_STATES),
         entry.integer(SimulatorProtocol.STARTED, 0),
         entry.number(SimulatorProtocol.WEIGHT, 1));
   }
--- a/src/main/java/loadbalancer/telemetry/BackgroundLogHandler.java
+++ b/src/main/java/loadbalancer/telemetry/BackgroundLogHandler.java
@@ -30,11 +30,11 @@
   private static final long FLUSH_CHECK_MILLIS = 2;
 
   private final PrintStream out;
-  private final BlockingQueue<String> lines = new ArrayBlockingQueue<>(MAX_QUEUED_LINES);
-  private final AtomicLong dropped = new AtomicLong();
+  private final BlockingQueue<String> queuedLines = new ArrayBlockingQueue<>(MAX_QUEUED_LINES);
+  private final AtomicLong droppedLineCount = new AtomicLong();
 
   /** The number of lines that have been accepted and not yet written. */
-  private final AtomicLong pending = new AtomicLong();
+  private final AtomicLong unwrittenLineCount = new AtomicLong();
 
   /** Creates a handler and starts its writer thread, which does not keep the process alive. */
   BackgroundLogHandler(PrintStream out) {
@@ -63,22 +63,22 @@
     if (!isLoggable(entry)) {
       return;
     }
-    pending.incrementAndGet();
-    if (!lines.offer(getFormatter().format(entry))) {
-      pending.decrementAndGet();
-      dropped.incrementAndGet();
+    unwrittenLineCount.incrementAndGet();
+    if (!queuedLines.offer(getFormatter().format(entry))) {
+      unwrittenLineCount.decrementAndGet();
+      droppedLineCount.incrementAndGet();
     }
   }
 
   private void writeAll() {
     try {
       while (true) {
-        out.print(lines.take());
-        long droppedCount = dropped.getAndSet(0);
+        out.print(queuedLines.take());
+        long droppedCount = droppedLineCount.getAndSet(0);
         if (droppedCount > 0) {
           out.println("log_lines_dropped count=" + droppedCount);
         }
-        pending.decrementAndGet();
+        unwrittenLineCount.decrementAndGet();
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -89,7 +89,7 @@
   public void flush() {
     long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MAX_FLUSH_MILLIS);
     try {
-      while (pending.get() > 0 && System.nanoTime() < deadlineNanos) {
+      while (unwrittenLineCount.get() > 0 && System.nanoTime() < deadlineNanos) {
         TimeUnit.MILLISECONDS.sleep(FLUSH_CHECK_MILLIS);
       }
     } catch (InterruptedException e) {
--- a/src/main/java/loadbalancer/telemetry/EventLoopLagMonitor.java
+++ b/src/main/java/loadbalancer/telemetry/EventLoopLagMonitor.java
@@ -11,8 +11,8 @@
  */
 public final class EventLoopLagMonitor {
 
-  private static final long PERIOD_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
-  private static final long RETRY_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
+  private static final long TICK_PERIOD_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
+  private static final long LATE_TICK_RECHECK_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
 
   private final EventLoop loop;
   private final MonotonicClock clock;
@@ -33,11 +33,12 @@
   private void tick() {
     // A late tick is recorded only in the loop's next iteration: in this one the sockets may not
     // have been read since the delay.
-    isTickLate = !isTickLate && clock.nowNanos() - lastTickNanos > 2 * PERIOD_NANOS;
+    isTickLate = !isTickLate && clock.nowNanos() - lastTickNanos > 2 * TICK_PERIOD_NANOS;
     if (!isTickLate) {
       lastTickNanos = clock.nowNanos();
     }
-    loop.schedule(this::tick, isTickLate ? RETRY_NANOS : PERIOD_NANOS, TimeUnit.NANOSECONDS);
+    loop.schedule(
+        this::tick, isTickLate ? LATE_TICK_RECHECK_NANOS : TICK_PERIOD_NANOS, TimeUnit.NANOSECONDS);
   }
 
   /**
@@ -45,6 +46,6 @@
    * been overdue; 0 while the loop is on time.
    */
   public long lagNanos() {
-    return Math.max(0, clock.nowNanos() - lastTickNanos - PERIOD_NANOS);
+    return Math.max(0, clock.nowNanos() - lastTickNanos - TICK_PERIOD_NANOS);
   }
 }
--- a/src/main/java/loadbalancer/telemetry/RequestTrace.java
+++ b/src/main/java/loadbalancer/telemetry/RequestTrace.java
@@ -22,13 +22,13 @@
   private static final long PERIOD_NANOS = TimeUnit.SECONDS.toNanos(1);
 
   /** The limit on {@code request} lines in a period; the summary counts all requests. */
-  private static final int MAX_REQUEST_LINES = 5;
+  private static final int MAX_REQUEST_LINES_PER_PERIOD = 5;
 
   /**
    * The time within which a rejection counts as immediate. Requests that are rejected later were
    * queued or attempted before.
    */
-  private static final long MAX_AT_ONCE_NANOS = TimeUnit.MILLISECONDS.toNanos(2);
+  private static final long IMMEDIATE_REJECTION_NANOS = TimeUnit.MILLISECONDS.toNanos(2);
 
   private static final int INITIAL_LINE_CAPACITY = 200;
 
@@ -36,15 +36,15 @@
   private static final AttemptRefusal[] REFUSALS = AttemptRefusal.values();
 
   private final LongFunction<String> endpointNames;
-  private final int[] attempts = new int[STATUSES.length];
-  private final int[] refusals = new int[REFUSALS.length];
+  private final int[] attemptCounts = new int[STATUSES.length];
+  private final int[] refusalCounts = new int[REFUSALS.length];
   private long periodEndNanos;
-  private int served;
-  private int late;
-  private int rejectedAtOnce;
-  private int rejectedLater;
-  private int failed;
-  private int requestLines;
+  private int servedCount;
+  private int lateCount;
+  private int rejectedAtOnceCount;
+  private int rejectedLaterCount;
+  private int failedCount;
+  private int requestLineCount;
   private long maxLagNanos;
 
   /**
@@ -58,12 +58,12 @@
 
   /** Counts an attempt by the status with which it ended. */
   public void attemptEnded(AttemptStatus status) {
-    attempts[status.ordinal()]++;
+    attemptCounts[status.ordinal()]++;
   }
 
   /** Counts an attempt that the decision engine started but that was not written, by the reason. */
   public void attemptRefused(AttemptRefusal refusal) {
-    refusals[refusal.ordinal()]++;
+    refusalCounts[refusal.ordinal()]++;
   }
 
   /**
@@ -76,7 +76,8 @@
 
   /** Records that a request got its final response, and logs the lines that are due. */
   public void responded(TracedRequest request, HttpResponseStatus status, long nowNanos) {
-    if (count(request, status, nowNanos) && requestLines++ < MAX_REQUEST_LINES) {
+    if (countResponse(request, status, nowNanos)
+        && requestLineCount++ < MAX_REQUEST_LINES_PER_PERIOD) {
       logRequest(request, status, nowNanos);
     }
     if (periodEndNanos == 0) {
@@ -89,40 +90,40 @@
   }
 
   /** Counts a response and returns whether its request qualifies for a {@code request} line. */
-  private boolean count(TracedRequest request, HttpResponseStatus status, long nowNanos) {
-    long duration = nowNanos - request.acceptedAtNanos();
+  private boolean countResponse(TracedRequest request, HttpResponseStatus status, long nowNanos) {
+    long durationNanos = nowNanos - request.acceptedAtNanos();
     if (status.equals(HttpResponseStatus.OK)) {
-      boolean isLate = duration > request.requestClass().latencyObjectiveNanos();
-      served++;
-      late += isLate ? 1 : 0;
+      boolean isLate = durationNanos > request.requestClass().latencyObjectiveNanos();
+      servedCount++;
+      lateCount += isLate ? 1 : 0;
       return isLate;
     }
     if (!status.equals(HttpResponseStatus.TOO_MANY_REQUESTS)) {
-      failed++;
+      failedCount++;
       return true;
     }
-    if (duration < MAX_AT_ONCE_NANOS) {
-      rejectedAtOnce++;
+    if (durationNanos < IMMEDIATE_REJECTION_NANOS) {
+      rejectedAtOnceCount++;
       return false;
     }
-    rejectedLater++;
+    rejectedLaterCount++;
     return true;
   }
 
   private void logSummary() {
     StringBuilder line =
-        new StringBuilder(INITIAL_LINE_CAPACITY).append("summary served=").append(served);
-    line.append(" late=").append(late);
-    line.append(" rejected_at_once=").append(rejectedAtOnce);
-    line.append(" rejected_later=").append(rejectedLater);
-    line.append(" failed=").append(failed);
+        new StringBuilder(INITIAL_LINE_CAPACITY).append("summary served=").append(servedCount);
+    line.append(" late=").append(lateCount);
+    line.append(" rejected_at_once=").append(rejectedAtOnceCount);
+    line.append(" rejected_later=").append(rejectedLaterCount);
+    line.append(" failed=").append(failedCount);
     for (AttemptStatus status : STATUSES) {
-      appendCount(line, " attempts_", status, attempts[status.ordinal()]);
+      appendCount(line, " attempts_", status, attemptCounts[status.ordinal()]);
     }
     for (AttemptRefusal refusal : REFUSALS) {
-      appendCount(line, " unwritten_", refusal, refusals[refusal.ordinal()]);
+      appendCount(line, " unwritten_", refusal, refusalCounts[refusal.ordinal()]);
     }
-    log(line.append(" max_loop_lag_ms=").append(millis(maxLagNanos)));
+    log(line.append(" max_loop_lag_ms=").append(toMillis(maxLagNanos)));
   }
 
   private static void appendCount(StringBuilder line, String prefix, Enum<?> kind, int count) {
@@ -132,44 +133,44 @@
   }
 
   private void startPeriod() {
-    served = 0;
-    late = 0;
-    rejectedAtOnce = 0;
-    rejectedLater = 0;
-    failed = 0;
-    requestLines = 0;
+    servedCount = 0;
+    lateCount = 0;
+    rejectedAtOnceCount = 0;
+    rejectedLaterCount = 0;
+    failedCount = 0;
+    requestLineCount = 0;
     maxLagNanos = 0;
-    Arrays.fill(attempts, 0);
-    Arrays.fill(refusals, 0);
+    Arrays.fill(attemptCounts, 0);
+    Arrays.fill(refusalCounts, 0);
   }
 
   private void logRequest(TracedRequest request, HttpResponseStatus status, long nowNanos) {
-    long acceptedAt = request.acceptedAtNanos();
+    long acceptedAtNanos = request.acceptedAtNanos();
     StringBuilder line = new StringBuilder(INITIAL_LINE_CAPACITY).append("request trace_id=");
     line.append(LogValues.quoteIfNeeded(request.traceId()));
     line.append(" class=").append(LogValues.quoteIfNeeded(request.requestClass().name()));
     line.append(" status=").append(status.code());
-    line.append(" duration_ms=").append(millis(nowNanos - acceptedAt));
-    line.append(" budget_ms=").append(millis(request.deadlineNanos() - acceptedAt));
-    line.append(" unread_ms=").append(millis(request.unreadNanos()));
-    int number = 0;
+    line.append(" duration_ms=").append(toMillis(nowNanos - acceptedAtNanos));
+    line.append(" budget_ms=").append(toMillis(request.deadlineNanos() - acceptedAtNanos));
+    line.append(" unread_ms=").append(toMillis(request.unreadNanos()));
+    int attemptNumber = 0;
     for (TracedAttempt attempt : request.attempts()) {
-      number++;
-      line.append(" attempt_").append(number).append('=');
-      appendAttempt(line, attempt, acceptedAt);
+      attemptNumber++;
+      line.append(" attempt_").append(attemptNumber).append('=');
+      appendAttempt(line, attempt, acceptedAtNanos);
     }
     log(line);
   }
 
-  private void appendAttempt(StringBuilder line, TracedAttempt attempt, long acceptedAt) {
+  private void appendAttempt(StringBuilder line, TracedAttempt attempt, long acceptedAtNanos) {
     line.append("endpoint:")
         .append(LogValues.quoteIfNeeded(endpointNames.apply(attempt.endpointId())));
-    line.append(",start_ms:").append(millis(attempt.startedAtNanos() - acceptedAt));
+    line.append(",start_ms:").append(toMillis(attempt.startedAtNanos() - acceptedAtNanos));
     if (attempt.status() == null) {
       line.append(",status:IN_FLIGHT");
     } else {
       line.append(",status:").append(attempt.status());
-      line.append(",latency_ms:").append(millis(attempt.latencyNanos()));
+      line.append(",latency_ms:").append(toMillis(attempt.latencyNanos()));
     }
   }
 
@@ -180,7 +181,7 @@
     LOG.logp(Level.INFO, "RequestTrace", "log", line.toString());
   }
 
-  private static long millis(long nanos) {
+  private static long toMillis(long nanos) {
     return TimeUnit.NANOSECONDS.toMillis(nanos);
   }
 }
--- a/src/test/java/loadbalancer/simulator/DecisionRecordingTest.java
+++ b/src/test/java/loadbalancer/simulator/DecisionRecordingTest.java
@@ -44,32 +44,36 @@
   static void countRecordings() throws IOException {
     coverage = new RecordingCoverage();
     for (String name : shortScenarioNames().toList()) {
-      coverage.add(lines(name));
+      coverage.addRecording(recordedLines(name));
     }
   }
 
-  private static List<String> lines(String name) throws IOException {
+  private static List<String> recordedLines(String name) throws IOException {
     return Files.readAllLines(DecisionRecordings.file(name));
   }
 
   @ParameterizedTest
   @MethodSource("shortScenarioNames")
   void recordedEventsYieldTheRecordedActions(String name) throws IOException {
-    Iterator<String> lines = lines(name).iterator();
-    int[] line = {0};
+    Iterator<String> lines = recordedLines(name).iterator();
+    int[] lineNumber = {0};
     EngineConversation.run(
         reply -> {
           if (reply != null) {
-            line[0]++;
+            lineNumber[0]++;
             assertEquals(
                 lines.next(),
                 reply,
-                () -> DecisionRecordings.file(name) + " line " + line[0] + ": decisions changed");
+                () ->
+                    DecisionRecordings.file(name)
+                        + " line "
+                        + lineNumber[0]
+                        + ": decisions changed");
           }
-          line[0]++;
+          lineNumber[0]++;
           return lines.hasNext() ? lines.next() : null;
         });
-    assertEquals(lines(name).size(), line[0] - 1);
+    assertEquals(recordedLines(name).size(), lineNumber[0] - 1);
   }
 
   @ParameterizedTest(name = "{0}")
@@ -97,15 +101,15 @@
 
   @Test
   void recordingsAreSmallEnoughToReview() throws IOException {
-    long all = 0;
+    long totalBytes = 0;
     for (String name : shortScenarioNames().toList()) {
       long size = Files.size(DecisionRecordings.file(name));
-      int batches = lines(name).size() / 2;
+      int batches = recordedLines(name).size() / 2;
       assertTrue(size <= MAX_FILE_BYTES, () -> name + " has " + size + " bytes");
       assertTrue(batches >= 100 && batches <= 200, () -> name + " has " + batches + " batches");
-      all += size;
+      totalBytes += size;
     }
-    assertTrue(all <= MAX_TOTAL_BYTES, "bytes in all: " + all);
+    assertTrue(totalBytes <= MAX_TOTAL_BYTES, "bytes in all: " + totalBytes);
   }
 
   /**
--- a/src/test/java/loadbalancer/simulator/DecisionScenarios.java
+++ b/src/test/java/loadbalancer/simulator/DecisionScenarios.java
@@ -35,11 +35,11 @@
   }
 
   private static DecisionScenario ejection() {
-    ScenarioSettings settings =
-        new ScenarioSettings()
-            .keyAffinity()
-            .requestClass("read", "idempotent", 400, 2000, 3)
-            .requestClass("order", "at_most_once", 600, 2000, 5);
+    ScenarioSettingsBuilder settings =
+        new ScenarioSettingsBuilder()
+            .withKeyAffinity()
+            .addClass("read", "idempotent", 400, 2000, 3)
+            .addClass("order", "at_most_once", 600, 2000, 5);
     return scenario(
         "ejection",
         11,
@@ -58,13 +58,13 @@
   }
 
   private static DecisionScenario hedges() {
-    ScenarioSettings settings =
-        new ScenarioSettings()
-            .groupSize(4)
-            .weightKind("nominal")
-            .requestClass("read", "idempotent", 800, 2000, 3)
-            .requestClass("update", "deduplicated zone 700", 800, 2000, 4)
-            .streamingClass("feed", 800, 1500, 2);
+    ScenarioSettingsBuilder settings =
+        new ScenarioSettingsBuilder()
+            .withGroupSize(4)
+            .withWeightKind("nominal")
+            .addClass("read", "idempotent", 800, 2000, 3)
+            .addClass("update", "deduplicated zone 700", 800, 2000, 4)
+            .addStreamingClass("feed", 800, 1500, 2);
     return scenario(
         "hedges",
         12,
@@ -80,16 +80,16 @@
   }
 
   private static DecisionScenario polledList() {
-    ScenarioSettings settings =
-        new ScenarioSettings()
-            .polledDiscovery()
-            .weightKind("rough")
+    ScenarioSettingsBuilder settings =
+        new ScenarioSettingsBuilder()
+            .withPolledDiscovery()
+            .withWeightKind("rough")
             .withoutHedges()
             .withoutRetryAfter()
-            .tenant("t1", 0.6, 0)
-            .tenant("t2", 0.4, 0)
-            .requestClass("read", "idempotent", 400, 1500, 3)
-            .requestClass("order", "at_most_once", 400, 1500, 5);
+            .addTenant("t1", 0.6, 0)
+            .addTenant("t2", 0.4, 0)
+            .addClass("read", "idempotent", 400, 1500, 3)
+            .addClass("order", "at_most_once", 400, 1500, 5);
     return scenario(
         "polled-list",
         13,
@@ -112,16 +112,16 @@
   }
 
   private static DecisionScenario quotas() {
-    ScenarioSettings settings =
-        new ScenarioSettings()
-            .groupSize(4)
-            .weightKind("live")
-            .keyAffinity()
-            .tenant("t1", 0.4, 16)
-            .tenant("t2", 0.35, 28)
-            .tenant("t3", 0.25, 20)
-            .requestClass("read", "idempotent", 400, 1200, 3)
-            .requestClass("write", "deduplicated all 1000", 500, 1200, 4);
+    ScenarioSettingsBuilder settings =
+        new ScenarioSettingsBuilder()
+            .withGroupSize(4)
+            .withWeightKind("live")
+            .withKeyAffinity()
+            .addTenant("t1", 0.4, 16)
+            .addTenant("t2", 0.35, 28)
+            .addTenant("t3", 0.25, 20)
+            .addClass("read", "idempotent", 400, 1200, 3)
+            .addClass("write", "deduplicated all 1000", 500, 1200, 4);
     return scenario(
         "quotas",
         14,
@@ -132,14 +132,14 @@
   }
 
   private static DecisionScenario slowStart() {
-    ScenarioSettings settings =
-        new ScenarioSettings()
-            .polledDiscovery()
-            .groupSize(100)
-            .weightKind("nominal")
-            .slowStart(0.14, 6000, 3)
-            .requestClass("read", "idempotent", 400, 2000, 3)
-            .requestClass("write", "deduplicated all 600", 400, 2000, 3);
+    ScenarioSettingsBuilder settings =
+        new ScenarioSettingsBuilder()
+            .withPolledDiscovery()
+            .withGroupSize(100)
+            .withWeightKind("nominal")
+            .withSlowStart(0.14, 6000, 3)
+            .addClass("read", "idempotent", 400, 2000, 3)
+            .addClass("write", "deduplicated all 600", 400, 2000, 3);
     return scenario(
         "slow-start",
         15,
@@ -155,12 +155,12 @@
   }
 
   private static DecisionScenario coldFleet() {
-    ScenarioSettings settings =
-        new ScenarioSettings()
-            .slowStart(0.25, 4000, 2)
-            .keyAffinity()
-            .requestClass("read", "idempotent", 500, 1500, 3)
-            .requestClass("order", "at_most_once", 500, 1500, 5);
+    ScenarioSettingsBuilder settings =
+        new ScenarioSettingsBuilder()
+            .withSlowStart(0.25, 4000, 2)
+            .withKeyAffinity()
+            .addClass("read", "idempotent", 500, 1500, 3)
+            .addClass("order", "at_most_once", 500, 1500, 5);
     return scenario(
         "cold-fleet",
         16,
@@ -175,12 +175,12 @@
   }
 
   private static DecisionScenario retryBudget() {
-    ScenarioSettings settings =
-        new ScenarioSettings()
-            .groupSize(4)
-            .requestClass("read", "idempotent", 400, 1500, 3)
-            .requestClass("write", "deduplicated all 800", 400, 1500, 4)
-            .requestClass("order", "at_most_once", 400, 1500, 5);
+    ScenarioSettingsBuilder settings =
+        new ScenarioSettingsBuilder()
+            .withGroupSize(4)
+            .addClass("read", "idempotent", 400, 1500, 3)
+            .addClass("write", "deduplicated all 800", 400, 1500, 4)
+            .addClass("order", "at_most_once", 400, 1500, 5);
     return scenario(
         "retry-budget",
         17,
@@ -195,16 +195,16 @@
   }
 
   private static DecisionScenario deduplication() {
-    ScenarioSettings settings =
-        new ScenarioSettings()
-            .groupSize(4)
-            .weightKind("rough")
-            .tenant("t1", 0.7, 60)
-            .tenant("t2", 0.3, 40)
-            .requestClass("update", "deduplicated zone 400", 400, 1500, 3)
-            .requestClass("cart", "deduplicated cell 300", 400, 1500, 3)
-            .requestClass("write", "deduplicated all 100", 400, 1500, 3)
-            .requestClass("order", "at_most_once", 400, 1500, 5);
+    ScenarioSettingsBuilder settings =
+        new ScenarioSettingsBuilder()
+            .withGroupSize(4)
+            .withWeightKind("rough")
+            .addTenant("t1", 0.7, 60)
+            .addTenant("t2", 0.3, 40)
+            .addClass("update", "deduplicated zone 400", 400, 1500, 3)
+            .addClass("cart", "deduplicated cell 300", 400, 1500, 3)
+            .addClass("write", "deduplicated all 100", 400, 1500, 3)
+            .addClass("order", "at_most_once", 400, 1500, 5);
     return scenario(
         "deduplication",
         18,
@@ -226,7 +226,11 @@
   }
 
   private static DecisionScenario scenario(
-      String name, long seed, ScenarioSettings settings, Traffic traffic, String... incidents) {
+      String name,
+      long seed,
+      ScenarioSettingsBuilder settings,
+      Traffic traffic,
+      String... incidents) {
     return new DecisionScenario(
         name,
         seed,
@@ -239,9 +243,9 @@
 
   /** Parses an incident given by its second, kind and endpoint. */
   private static Incident incident(String text) {
-    String[] words = text.split(" ", 0);
+    String[] parts = text.split(" ", 0);
     return new Incident(
-        Double.parseDouble(words[0]), IncidentKind.valueOf(words[1]), Integer.parseInt(words[2]));
+        Double.parseDouble(parts[0]), IncidentKind.valueOf(parts[1]), Integer.parseInt(parts[2]));
   }
 
   /**
@@ -261,10 +265,10 @@
   private static DecisionScenario longScenario(DecisionScenario base, int loadLevel) {
     long seed = base.seed() * 100 + loadLevel;
     Traffic baseTraffic = base.traffic();
-    double perEndpoint = baseTraffic.requestsPerSecond() / baseTraffic.endpoints();
+    double ratePerEndpoint = baseTraffic.requestsPerSecond() / baseTraffic.endpoints();
     Traffic traffic =
         new Traffic(
-            perEndpoint * LONG_SCENARIO_ENDPOINTS * (1 + 1.5 * loadLevel),
+            ratePerEndpoint * LONG_SCENARIO_ENDPOINTS * (1 + 1.5 * loadLevel),
             baseTraffic.keys() * 20,
             baseTraffic.workHintNanos(),
             LONG_SCENARIO_ENDPOINTS,
@@ -294,11 +298,11 @@
     List<Incident> incidents = new ArrayList<>();
     for (double second = 2; second < LONG_SCENARIO_SECONDS; second += 2 * random.nextDouble()) {
       IncidentKind kind = kinds[random.nextInt(kinds.length)];
-      boolean fleetWide = random.nextInt(5) == 0 && kind.ordinal() < IncidentKind.DRAIN.ordinal();
+      boolean isFleetWide = random.nextInt(5) == 0 && kind.ordinal() < IncidentKind.DRAIN.ordinal();
       int endpoint =
-          fleetWide ? Incident.ALL_ENDPOINTS : random.nextInt(LONG_SCENARIO_ENDPOINTS + 2);
+          isFleetWide ? Incident.ALL_ENDPOINTS : random.nextInt(LONG_SCENARIO_ENDPOINTS + 2);
       incidents.add(new Incident(second, kind, endpoint));
-      double end = second + (fleetWide ? 0.5 : 3) * (0.5 + random.nextDouble());
+      double end = second + (isFleetWide ? 0.5 : 3) * (0.5 + random.nextDouble());
       incidents.add(new Incident(end, recovery(kind), endpoint));
     }
     return incidents;
--- a/src/test/java/loadbalancer/simulator/EngineConversation.java
+++ b/src/test/java/loadbalancer/simulator/EngineConversation.java
@@ -34,7 +34,7 @@
     private final ByteArrayOutputStream replies;
     private byte[] line = {};
     private int position;
-    private boolean started;
+    private boolean hasStarted;
 
     BatchInput(UnaryOperator<String> peer, ByteArrayOutputStream replies) {
       this.peer = peer;
@@ -43,12 +43,12 @@
 
     @Override
     public int read() {
-      return fill() ? line[position++] & 0xff : -1;
+      return fillIfEmpty() ? line[position++] & 0xff : -1;
     }
 
     @Override
     public int read(byte[] target, int offset, int length) {
-      if (!fill()) {
+      if (!fillIfEmpty()) {
         return -1;
       }
       int count = Math.min(length, line.length - position);
@@ -57,12 +57,12 @@
       return count;
     }
 
-    private boolean fill() {
+    private boolean fillIfEmpty() {
       if (position < line.length) {
         return true;
       }
-      String batch = peer.apply(started ? lastReply() : null);
-      started = true;
+      String batch = peer.apply(hasStarted ? lastReply() : null);
+      hasStarted = true;
       line = batch == null ? new byte[0] : (batch + "\n").getBytes(StandardCharsets.UTF_8);
       position = 0;
       return batch != null;
--- a/src/test/java/loadbalancer/simulator/RecordingCoverage.java
+++ b/src/test/java/loadbalancer/simulator/RecordingCoverage.java
@@ -27,7 +27,7 @@
   private String firstOverdueRequest;
 
   /** Counts a recording, in which batches and replies alternate. */
-  void add(List<String> lines) {
+  void addRecording(List<String> lines) {
     requests.clear();
     endpoints.clear();
     workHintSumNanos = 0;
@@ -119,9 +119,9 @@
         endpoint.state = state;
         endpoint.stateSinceNanos = nowNanos;
       }
-      if (entry.integer("launched-ns") > endpoint.startedNanos) {
+      if (entry.integer("launched-ns") > endpoint.startedAtNanos) {
         increment("event endpoint restarted");
-        endpoint.startedNanos = entry.integer("launched-ns");
+        endpoint.startedAtNanos = entry.integer("launched-ns");
         endpoint.clearFailures();
       }
     }
@@ -148,10 +148,10 @@
         fields.text("rid"), new Request(requestClass, nowNanos, fields.integer("drop-dead-ns")));
   }
 
-  private void countDisconnect(String id) {
+  private void countDisconnect(String requestId) {
     increment("event client disconnected");
-    if (nowNanos > requests.get(id).deadlineNanos && firstOverdueRequest == null) {
-      firstOverdueRequest = id + " at " + nowNanos;
+    if (nowNanos > requests.get(requestId).deadlineNanos && firstOverdueRequest == null) {
+      firstOverdueRequest = requestId + " at " + nowNanos;
     }
   }
 
@@ -160,12 +160,12 @@
     increment("outcome " + status);
     request.statuses.set((int) fields.integer("go"), status);
     Endpoint endpoint = endpoints.get(fields.integer("upstream"));
-    boolean timedOutEarly =
+    boolean isEarlyTimeout =
         status.equals("no_answer")
             && fields.integer("wait-time-ns") < request.requestClass.integer("aim-ns");
     if (status.equals("served")) {
       endpoint.clearFailures();
-    } else if (FAILURE_STATUSES.contains(status) && !timedOutEarly) {
+    } else if (FAILURE_STATUSES.contains(status) && !isEarlyTimeout) {
       endpoint.recordFailure(nowNanos);
     }
   }
@@ -188,7 +188,7 @@
     }
   }
 
-  private void countAttempt(Request request, long id) {
+  private void countAttempt(Request request, long endpointId) {
     if (request.statuses.isEmpty()) {
       incrementIf(nowNanos > request.arrivedAtNanos, "decision queued then sent");
     } else {
@@ -205,7 +205,7 @@
           "decision repeated in " + request.requestClass.text("dedup-scope"));
     }
     request.statuses.add(null);
-    countAttemptTo(endpoints.get(id));
+    countAttemptTo(endpoints.get(endpointId));
   }
 
   private void countAttemptTo(Endpoint endpoint) {
@@ -214,7 +214,7 @@
         "sent to unavailable endpoint");
     long slowStartNanos = settings.nested("contract").integer("warm-within-ns");
     incrementIf(
-        endpoint.startedNanos > 0 && nowNanos - endpoint.startedNanos < slowStartNanos,
+        endpoint.startedAtNanos > 0 && nowNanos - endpoint.startedAtNanos < slowStartNanos,
         "decision sent to warming endpoint");
     if (endpoint.ejectedAtNanos > 0) {
       incrementIf(nowNanos - endpoint.ejectedAtNanos < MIN_EJECTION_NANOS, "decision panic");
@@ -228,8 +228,8 @@
    * Counts an ejection once other endpoints have been sent three requests and the shortest ejection
    * time is over.
    */
-  private void countAttemptElsewhere(Endpoint endpoint, boolean isSelf) {
-    if (isSelf || endpoint.ejectedAtNanos == 0 || !endpoint.state.equals("up")) {
+  private void countAttemptElsewhere(Endpoint endpoint, boolean isAttempted) {
+    if (isAttempted || endpoint.ejectedAtNanos == 0 || !endpoint.state.equals("up")) {
       return;
     }
     endpoint.attemptsElsewhere++;
@@ -299,7 +299,7 @@
   private static final class Endpoint {
     String state = "up";
     long stateSinceNanos;
-    long startedNanos;
+    long startedAtNanos;
     int consecutiveFailures;
     long ejectedAtNanos;
     int attemptsElsewhere;
--- a/src/test/java/loadbalancer/simulator/ScenarioPlayer.java
+++ b/src/test/java/loadbalancer/simulator/ScenarioPlayer.java
@@ -49,7 +49,7 @@
   private int eventCount;
   private double rateFactor = 1;
   private boolean isWatching;
-  private int failingWatches;
+  private int remainingWatchFailures;
 
   ScenarioPlayer(DecisionScenario scenario) {
     this.scenario = scenario;
@@ -163,62 +163,63 @@
       schedule(nowNanos + 1, () -> endAttempt(attempt, "not_sent"));
       return;
     }
-    long timeout = fields.integer("patience-ns");
-    long remaining = request.deadlineNanos - nowNanos;
-    long limit = timeout > 0 ? Math.min(timeout, remaining) : remaining;
-    serve(attempt, limit);
+    long timeoutNanos = fields.integer("patience-ns");
+    long remainingNanos = request.deadlineNanos - nowNanos;
+    long limitNanos = timeoutNanos > 0 ? Math.min(timeoutNanos, remainingNanos) : remainingNanos;
+    serve(attempt, limitNanos);
   }
 
-  private void serve(Attempt attempt, long limit) {
+  private void serve(Attempt attempt, long limitNanos) {
     IncidentKind behaviour = attempt.endpoint.behaviour;
     if (behaviour == IncidentKind.UNSTABLE) {
       behaviour = random.nextBoolean() ? IncidentKind.FAILING : IncidentKind.HEALTHY;
     }
     switch (behaviour) {
-      case FAILING -> scheduleEnd(attempt, FAST_RESPONSE_NANOS, "server_error", limit);
-      case REFUSING -> scheduleEnd(attempt, FAST_RESPONSE_NANOS, "turned_away", limit);
-      case RESETTING -> scheduleEnd(attempt, 5 * FAST_RESPONSE_NANOS, "connection_lost", limit);
-      case UNREACHABLE -> scheduleEnd(attempt, CONNECT_TIMEOUT_NANOS, "no_connection", limit);
-      case HANGING -> scheduleEnd(attempt, Long.MAX_VALUE, "served", limit);
-      default -> respond(attempt, limit, behaviour == IncidentKind.SLOW ? 6 : 1);
+      case FAILING -> scheduleEnd(attempt, FAST_RESPONSE_NANOS, "server_error", limitNanos);
+      case REFUSING -> scheduleEnd(attempt, FAST_RESPONSE_NANOS, "turned_away", limitNanos);
+      case RESETTING ->
+          scheduleEnd(attempt, 5 * FAST_RESPONSE_NANOS, "connection_lost", limitNanos);
+      case UNREACHABLE -> scheduleEnd(attempt, CONNECT_TIMEOUT_NANOS, "no_connection", limitNanos);
+      case HANGING -> scheduleEnd(attempt, Long.MAX_VALUE, "served", limitNanos);
+      default -> respond(attempt, limitNanos, behaviour == IncidentKind.SLOW ? 6 : 1);
     }
   }
 
-  private void respond(Attempt attempt, long limit, double slowness) {
+  private void respond(Attempt attempt, long limitNanos, double latencyFactor) {
     Endpoint endpoint = attempt.endpoint;
     if (endpoint.inFlight > MAX_IN_FLIGHT_PER_WORKER * traffic.workersPerEndpoint()) {
-      scheduleEnd(attempt, FAST_RESPONSE_NANOS, "turned_away", limit);
+      scheduleEnd(attempt, FAST_RESPONSE_NANOS, "turned_away", limitNanos);
       return;
     }
     double requestsPerWorker =
         Math.max(1, (double) endpoint.inFlight / traffic.workersPerEndpoint());
-    long latency =
+    long latencyNanos =
         (long)
             (traffic.serviceTimeNanos()
                 * (0.5 + random.nextDouble())
                 * requestsPerWorker
-                * slowness
+                * latencyFactor
                 * slowStartFactor(endpoint)
                 * attempt.request.workFactor);
-    if (attempt.request.isStreaming && latency < limit) {
-      schedule(nowNanos + latency / 2, () -> startStream(attempt));
+    if (attempt.request.isStreaming && latencyNanos < limitNanos) {
+      schedule(nowNanos + latencyNanos / 2, () -> startStream(attempt));
     }
-    scheduleEnd(attempt, latency, "served", limit);
+    scheduleEnd(attempt, latencyNanos, "served", limitNanos);
   }
 
   private double slowStartFactor(Endpoint endpoint) {
-    double warmAfter = settings.nested("contract").number("warm-within-ns");
-    double cold = Math.max(0, 1 - (nowNanos - endpoint.startedNanos) / warmAfter);
-    return endpoint.startedNanos == 0 ? 1 : 1 + 3 * cold;
+    double slowStartNanos = settings.nested("contract").number("warm-within-ns");
+    double coldShare = Math.max(0, 1 - (nowNanos - endpoint.startedAtNanos) / slowStartNanos);
+    return endpoint.startedAtNanos == 0 ? 1 : 1 + 3 * coldShare;
   }
 
-  private void scheduleEnd(Attempt attempt, long latency, String status, long limit) {
-    String outcome = latency < limit ? status : "no_answer";
-    schedule(nowNanos + Math.min(latency, limit), () -> endAttempt(attempt, outcome));
+  private void scheduleEnd(Attempt attempt, long latencyNanos, String status, long limitNanos) {
+    String outcome = latencyNanos < limitNanos ? status : "no_answer";
+    schedule(nowNanos + Math.min(latencyNanos, limitNanos), () -> endAttempt(attempt, outcome));
   }
 
-  private void cancelAttempt(ClientRequest request, int number) {
-    Attempt attempt = request.attempts.get(number);
+  private void cancelAttempt(ClientRequest request, int index) {
+    Attempt attempt = request.attempts.get(index);
     if (!attempt.isStreaming) {
       schedule(nowNanos + 1, () -> endAttempt(attempt, "called_off"));
     }
@@ -263,9 +264,9 @@
   // Clients
 
   private void scheduleArrival() {
-    double gap =
+    double gapSeconds =
         -StrictMath.log(1 - random.nextDouble()) / traffic.requestsPerSecond() / rateFactor;
-    lastArrivalNanos += (long) (gap * DecisionScenario.SECOND_NANOS);
+    lastArrivalNanos += (long) (gapSeconds * DecisionScenario.SECOND_NANOS);
     schedule(
         lastArrivalNanos,
         () -> {
@@ -308,7 +309,8 @@
     if (random.nextDouble() < traffic.shortDeadlineShare()) {
       request.timeoutNanos /= 8;
     }
-    request.fields = "\"service\":\"" + requestClass.text("name") + "\"" + tenant() + affinityKey();
+    request.fields =
+        "\"service\":\"" + requestClass.text("name") + "\"" + tenantField() + affinityKeyField();
     if (traffic.workHintNanos() > 0) {
       request.workFactor = random.nextInt(16) == 0 ? 8 : 0.5 + random.nextDouble();
       request.fields +=
@@ -321,7 +323,7 @@
    * Chooses a tenant by the shares; while the request rate is raised, the first tenant exceeds its
    * share.
    */
-  private String tenant() {
+  private String tenantField() {
     List<WireJson> tenants = settings.objects("projects");
     double point = rateFactor > 1 && random.nextBoolean() ? 0 : random.nextDouble();
     for (WireJson tenant : tenants) {
@@ -333,11 +335,11 @@
     return "";
   }
 
-  private String affinityKey() {
-    double skew = random.nextDouble();
+  private String affinityKeyField() {
+    double point = random.nextDouble();
     return traffic.keys() == 0
         ? ""
-        : ",\"object\":\"k" + (int) (traffic.keys() * skew * skew * skew) + "\"";
+        : ",\"object\":\"k" + (int) (traffic.keys() * point * point * point) + "\"";
   }
 
   private void disconnect(ClientRequest request) {
@@ -368,7 +370,7 @@
   private void applyIncident(Endpoint endpoint, IncidentKind kind) {
     switch (kind) {
       case RESTART -> {
-        endpoint.startedNanos = nowNanos;
+        endpoint.startedAtNanos = nowNanos;
         endpoint.behaviour = IncidentKind.HEALTHY;
         updateState(endpoint, "up");
       }
@@ -411,14 +413,14 @@
   private void failWatch() {
     if (isWatching && "on_request".equals(settings.text("registry-mode"))) {
       isWatching = false;
-      failingWatches = 2;
+      remainingWatchFailures = 2;
       send("Topology", "\"kind\":\"X\",\"stamp\":" + listVersion + ",\"entries\":[]");
     }
   }
 
   private void answerWatch() {
-    if (failingWatches > 0) {
-      failingWatches--;
+    if (remainingWatchFailures > 0) {
+      remainingWatchFailures--;
       send("Topology", "\"kind\":\"X\",\"stamp\":" + listVersion + ",\"entries\":[]");
       return;
     }
@@ -432,10 +434,10 @@
   }
 
   private void sendEndpointList(String kind, Iterable<Endpoint> entries) {
-    List<String> lines = new ArrayList<>();
+    List<String> listEntries = new ArrayList<>();
     for (Endpoint endpoint : entries) {
       if (endpoint.isListed) {
-        lines.add(listEntry(endpoint));
+        listEntries.add(listEntry(endpoint));
       }
     }
     send(
@@ -445,7 +447,7 @@
             + "\",\"stamp\":"
             + listVersion++
             + ",\"entries\":["
-            + String.join(",", lines)
+            + String.join(",", listEntries)
             + "]");
   }
 
@@ -465,7 +467,7 @@
         + ",\"stage-state\":\""
         + endpoint.state
         + "\""
-        + (endpoint.startedNanos > 0 ? ",\"launched-ns\":" + endpoint.startedNanos : "")
+        + (endpoint.startedAtNanos > 0 ? ",\"launched-ns\":" + endpoint.startedAtNanos : "")
         + ",\"capacity-hint\":"
         + weight
         + "}";
@@ -484,7 +486,7 @@
     final double weight;
     String state = "up";
     IncidentKind behaviour = IncidentKind.HEALTHY;
-    long startedNanos;
+    long startedAtNanos;
     int inFlight;
     boolean isListed;
 
@@ -527,21 +529,21 @@
   /** An attempt that the engine started. */
   private static final class Attempt {
     final ClientRequest request;
-    final int number;
+    final int index;
     final Endpoint endpoint;
     final long sentAtNanos;
     boolean isStreaming;
     boolean isEnded;
 
-    Attempt(ClientRequest request, int number, Endpoint endpoint, long sentAtNanos) {
+    Attempt(ClientRequest request, int index, Endpoint endpoint, long sentAtNanos) {
       this.request = request;
-      this.number = number;
+      this.index = index;
       this.endpoint = endpoint;
       this.sentAtNanos = sentAtNanos;
     }
 
     String fields() {
-      return "\"rid\":\"" + request.id + "\",\"go\":" + number + ",\"upstream\":" + endpoint.id;
+      return "\"rid\":\"" + request.id + "\",\"go\":" + index + ",\"upstream\":" + endpoint.id;
     }
   }
 }
--- a/src/test/java/loadbalancer/simulator/ScenarioSettings.java
+++ b/src/test/java/loadbalancer/simulator/ScenarioSettingsBuilder.java
@@ -5,7 +5,7 @@
 import java.util.Locale;
 
 /** Builds the settings of a scenario, which are boot-info in the simulator's protocol. */
-final class ScenarioSettings {
+final class ScenarioSettingsBuilder {
 
   private final List<String> classes = new ArrayList<>();
   private final List<String> tenants = new ArrayList<>();
@@ -13,33 +13,33 @@
   private String weightKind = "none";
   private String contract = contract(0.2, 8000, 2);
   private int groupSize = 1;
-  private boolean keyAffinity;
-  private boolean cancellation = true;
-  private boolean hedging = true;
-  private boolean retryAfter = true;
+  private boolean hasKeyAffinity;
+  private boolean canCancel = true;
+  private boolean canHedge = true;
+  private boolean hasRetryAfter = true;
 
   /**
    * Adds a class of requests. The effect "deduplicated zone 400" also names the scope and the
    * window in milliseconds.
    */
-  ScenarioSettings requestClass(
+  ScenarioSettingsBuilder addClass(
       String name, String effect, int objectiveMillis, int deadlineMillis, int priorityWeight) {
-    return requestClass(name, effect, objectiveMillis, deadlineMillis, priorityWeight, false);
+    return addClass(name, effect, objectiveMillis, deadlineMillis, priorityWeight, false);
   }
 
   /** Adds a class of idempotent requests whose responses are streamed. */
-  ScenarioSettings streamingClass(
+  ScenarioSettingsBuilder addStreamingClass(
       String name, int objectiveMillis, int deadlineMillis, int priorityWeight) {
-    return requestClass(name, "idempotent", objectiveMillis, deadlineMillis, priorityWeight, true);
+    return addClass(name, "idempotent", objectiveMillis, deadlineMillis, priorityWeight, true);
   }
 
-  private ScenarioSettings requestClass(
+  private ScenarioSettingsBuilder addClass(
       String name,
       String effect,
       int objectiveMillis,
       int deadlineMillis,
       int priorityWeight,
-      boolean streaming) {
+      boolean isStreaming) {
     String[] words = effect.split(" ", 0);
     classes.add(
         "{\"name\":\""
@@ -57,13 +57,13 @@
             + "000000,\"gain\":"
             + priorityWeight
             + ",\"stream\":"
-            + streaming
+            + isStreaming
             + "}");
     return this;
   }
 
   /** Adds a tenant; a quota of 0 means that none is stated. */
-  ScenarioSettings tenant(String name, double share, int quotaPerSecond) {
+  ScenarioSettingsBuilder addTenant(String name, double share, int quotaPerSecond) {
     tenants.add(
         "{\"name\":\""
             + name
@@ -74,39 +74,40 @@
     return this;
   }
 
-  ScenarioSettings polledDiscovery() {
+  ScenarioSettingsBuilder withPolledDiscovery() {
     discoveryMode = "on_request";
     return this;
   }
 
-  ScenarioSettings weightKind(String kind) {
+  ScenarioSettingsBuilder withWeightKind(String kind) {
     weightKind = kind;
     return this;
   }
 
-  ScenarioSettings groupSize(int instances) {
+  ScenarioSettingsBuilder withGroupSize(int instances) {
     groupSize = instances;
     return this;
   }
 
-  ScenarioSettings keyAffinity() {
-    keyAffinity = true;
+  ScenarioSettingsBuilder withKeyAffinity() {
+    hasKeyAffinity = true;
     return this;
   }
 
-  ScenarioSettings slowStart(double initialCapacity, int slowStartMillis, int overloadMultiple) {
+  ScenarioSettingsBuilder withSlowStart(
+      double initialCapacity, int slowStartMillis, int overloadMultiple) {
     contract = contract(initialCapacity, slowStartMillis, overloadMultiple);
     return this;
   }
 
-  ScenarioSettings withoutHedges() {
-    cancellation = false;
-    hedging = false;
+  ScenarioSettingsBuilder withoutHedges() {
+    canCancel = false;
+    canHedge = false;
     return this;
   }
 
-  ScenarioSettings withoutRetryAfter() {
-    retryAfter = false;
+  ScenarioSettingsBuilder withoutRetryAfter() {
+    hasRetryAfter = false;
     return this;
   }
 
@@ -128,17 +129,17 @@
         + "],\"contract\":"
         + contract
         + ",\"domain\":{\"warm-keys\":"
-        + keyAffinity
+        + hasKeyAffinity
         + "},\"group-size\":"
         + groupSize
         + ",\"limits\":{\"cancel\":"
-        + cancellation
+        + canCancel
         + ",\"max-attempts\":4,\"most-held\":300,"
         + "\"retry-after\":"
-        + retryAfter
+        + hasRetryAfter
         + ",\"max-retry-after-ns\":2500000000,"
         + "\"second-copies\":"
-        + hedging
+        + canHedge
         + "},\"me\":0,\"over-share-worth\":0.05"
         + (tenants.isEmpty() ? "" : ",\"projects\":[" + String.join(",", tenants) + "]")
         + ",\"registry-mode\":\""
--- a/src/test/java/loadbalancer/simulator/SimulatorAdapterTest.java
+++ b/src/test/java/loadbalancer/simulator/SimulatorAdapterTest.java
@@ -33,20 +33,20 @@
  */
 class SimulatorAdapterTest {
 
-  private static final String CLASS =
+  private static final String REQUEST_CLASS =
       "{\"name\":\"c\",\"aim-ns\":400000000,\"deadline-ns\":2000000000,"
           + "\"effect\":\"idempotent\",\"unknown\":[1,{}]}";
-  private static final String PROVISION =
+  private static final String PROVISION_BATCH =
       "{\"clock-ns\":1000000000,\"groups\":[{\"balancer\":3,\"msgs\":["
           + "{\"Provision\":{\"seed\":1,\"boot-info\":{\"novel\":1.5,\"categories\":["
-          + CLASS
+          + REQUEST_CLASS
           + "],\"registry-mode\":\"on_request\"}}},"
           + "{\"Topology\":{\"kind\":\"C\",\"stamp\":1,\"entries\":[{\"hw\":\"x\","
           + "\"launched-ns\":null,\"pack\":0,"
           + "\"upstream\":7,\"region-part\":\"\",\"stage-state\":\"up\","
           + "\"capacity-hint\":1}]}}]}]}";
 
-  private static String exchange(String... lines) throws IOException {
+  private static String repliesTo(String... lines) throws IOException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     String text = String.join("\n", lines) + "\n";
     new SimulatorAdapter(new ByteArrayInputStream(text.getBytes(StandardCharsets.UTF_8)), out)
@@ -54,8 +54,12 @@
     return out.toString(StandardCharsets.UTF_8);
   }
 
-  private static String batch(long clock, String messages) {
-    return "{\"clock-ns\":" + clock + ",\"groups\":[{\"balancer\":3,\"msgs\":[" + messages + "]}]}";
+  private static String batch(long clockNanos, String messages) {
+    return "{\"clock-ns\":"
+        + clockNanos
+        + ",\"groups\":[{\"balancer\":3,\"msgs\":["
+        + messages
+        + "]}]}";
   }
 
   private static String reply(String actions) {
@@ -70,7 +74,7 @@
 
   @Test
   void repliesToAnEmptyBatchWithNoGroups() throws IOException {
-    assertEquals("{\"groups\":[]}\n", exchange("{\"clock-ns\":1,\"groups\":[]}"));
+    assertEquals("{\"groups\":[]}\n", repliesTo("{\"clock-ns\":1,\"groups\":[]}"));
   }
 
   @Test
@@ -88,8 +92,8 @@
             + reply("");
     assertEquals(
         expected,
-        exchange(
-            PROVISION,
+        repliesTo(
+            PROVISION_BATCH,
             batch(1_100_000_000L, REQUEST_ARRIVED),
             batch(1_150_000_000L, "{\"Fired\":{\"handle\":\"sweep\"}}"),
             batch(
@@ -143,8 +147,8 @@
   @Test
   void reportsAnExceptionOfTheEngineAsAFault() throws IOException {
     String out =
-        exchange(
-            PROVISION,
+        repliesTo(
+            PROVISION_BATCH,
             batch(
                 1_100_000_000L,
                 REQUEST_ARRIVED.replace("\"service\":\"c\"", "\"service\":\"nope\"")));
@@ -177,7 +181,7 @@
       })
   void rejectsMalformedInputWithItsLineAndField(String line, String message) {
     MalformedInputException exception =
-        assertThrows(MalformedInputException.class, () -> exchange(PROVISION, line));
+        assertThrows(MalformedInputException.class, () -> repliesTo(PROVISION_BATCH, line));
     assertTrue(exception.getMessage().startsWith("line 2: "), exception.getMessage());
     assertTrue(exception.getMessage().contains(message), exception.getMessage());
   }
@@ -185,12 +189,14 @@
   @Test
   void rejectsInvalidSettingsByName() {
     MalformedInputException withoutClasses =
-        assertThrows(MalformedInputException.class, () -> exchange(PROVISION.replace(CLASS, "")));
+        assertThrows(
+            MalformedInputException.class,
+            () -> repliesTo(PROVISION_BATCH.replace(REQUEST_CLASS, "")));
     assertEquals("line 1: settings: classes must not be empty", withoutClasses.getMessage());
     MalformedInputException negativeObjective =
         assertThrows(
             MalformedInputException.class,
-            () -> exchange(PROVISION.replace("\"aim-ns\":400000000", "\"aim-ns\":-4")));
+            () -> repliesTo(PROVISION_BATCH.replace("\"aim-ns\":400000000", "\"aim-ns\":-4")));
     assertEquals(
         "line 1: settings: aim of class c must be above 0", negativeObjective.getMessage());
   }
--- a/src/test/java/loadbalancer/telemetry/RequestTraceTest.java
+++ b/src/test/java/loadbalancer/telemetry/RequestTraceTest.java
@@ -71,7 +71,7 @@
     logger.removeHandler(handler);
   }
 
-  private static FakeRequest accepted(String traceId, long atNanos) {
+  private static FakeRequest requestAcceptedAt(String traceId, long atNanos) {
     return new FakeRequest(traceId, atNanos, 0, List.of());
   }
 
@@ -96,8 +96,8 @@
 
   @Test
   void logsLateAndQueuedRequestsOnLinesOfTheirOwn() {
-    trace.responded(accepted("late", 0), HttpResponseStatus.OK, 401 * MS);
-    trace.responded(accepted("queued", 0), HttpResponseStatus.TOO_MANY_REQUESTS, 2 * MS);
+    trace.responded(requestAcceptedAt("late", 0), HttpResponseStatus.OK, 401 * MS);
+    trace.responded(requestAcceptedAt("queued", 0), HttpResponseStatus.TOO_MANY_REQUESTS, 2 * MS);
     assertEquals(
         List.of(
             "request trace_id=late class=c status=200 duration_ms=401 budget_ms=2000 unread_ms=0",
@@ -110,9 +110,10 @@
     trace.attemptEnded(AttemptStatus.SUCCESS);
     trace.attemptEnded(AttemptStatus.REJECTED);
     trace.timerFired(3 * MS);
-    trace.responded(accepted("good", 0), HttpResponseStatus.OK, 400 * MS);
-    trace.responded(accepted("rejected", 500 * MS), HttpResponseStatus.TOO_MANY_REQUESTS, 501 * MS);
-    trace.responded(accepted("next", 1400 * MS), HttpResponseStatus.OK, 1500 * MS);
+    trace.responded(requestAcceptedAt("good", 0), HttpResponseStatus.OK, 400 * MS);
+    trace.responded(
+        requestAcceptedAt("rejected", 500 * MS), HttpResponseStatus.TOO_MANY_REQUESTS, 501 * MS);
+    trace.responded(requestAcceptedAt("next", 1400 * MS), HttpResponseStatus.OK, 1500 * MS);
     assertEquals(
         List.of(
             "summary served=2 late=0 rejected_at_once=1 rejected_later=0 failed=0"
@@ -127,10 +128,10 @@
   @Test
   void boundsTheLinesIfAllRequestsFail() {
     for (int i = 0; i < 1000; i++) {
-      trace.responded(accepted("t" + i, 0), HttpResponseStatus.BAD_GATEWAY, 100 * MS);
+      trace.responded(requestAcceptedAt("t" + i, 0), HttpResponseStatus.BAD_GATEWAY, 100 * MS);
     }
     assertTrue(lines.size() < 10, "lines: " + lines.size());
-    trace.responded(accepted("later", 1200 * MS), HttpResponseStatus.OK, 1300 * MS);
+    trace.responded(requestAcceptedAt("later", 1200 * MS), HttpResponseStatus.OK, 1300 * MS);
     String last = lines.get(lines.size() - 1);
     assertTrue(last.contains("failed=1000 "), last);
   }
