--- a/src/main/java/loadbalancer/config/BalancerConfig.java
+++ b/src/main/java/loadbalancer/config/BalancerConfig.java
@@ -50,7 +50,7 @@
   public static final String FILE_VARIABLE = "ROUTER_CONFIG";
 
   /**
-   * Reads the configuration file that the environment names.
+   * Reads and {@linkplain #parse parses} the configuration file that the environment names.
    *
    * @throws IOException if the file cannot be read
    * @throws ConfigurationException if the configuration cannot be used, or if no file is named
--- a/src/main/java/loadbalancer/config/BalancerConfigParser.java
+++ b/src/main/java/loadbalancer/config/BalancerConfigParser.java
@@ -14,7 +14,7 @@
 /** Parses the configuration of one instance; unknown fields are ignored. */
 final class BalancerConfigParser {
 
-  /** The descriptor limit if the file states none, which is the usual limit of a process. */
+  /** The descriptor limit if the file states none; it is the usual limit of a process. */
   private static final int DEFAULT_MAX_DESCRIPTORS = 1024;
 
   /** The memory limit if the file states none. */
--- a/src/main/java/loadbalancer/config/SettingsDecoder.java
+++ b/src/main/java/loadbalancer/config/SettingsDecoder.java
@@ -34,49 +34,51 @@
           "nominal", WeightKind.NOMINAL,
           "rough", WeightKind.ROUGH,
           "live", WeightKind.LIVE);
+
+  /** Whether the endpoint list is polled, by the name of the discovery mode. */
   private static final Map<String, Boolean> IS_POLLED_BY_DISCOVERY_MODE =
       Map.of("pushed", false, "on_request", true);
 
-  /** The safe default: a request that is not known to be idempotent never runs twice. */
+  /** A request that is not known to be idempotent must not run twice. */
   private static final Idempotence DEFAULT_IDEMPOTENCE = Idempotence.NON_IDEMPOTENT;
 
-  /** The narrowest scope: a repeat is only sent to endpoints that are certain to recognise it. */
+  /** The narrowest scope, so that repeats go only to endpoints that certainly recognise them. */
   private static final DedupScope DEFAULT_DEDUP_SCOPE = DedupScope.CELL;
 
-  /** A single attempt without retries. */
+  /** A request gets a single attempt and no retries. */
   private static final int DEFAULT_MAX_ATTEMPTS = 1;
 
-  /** No separate limit: admission control limits the requests in flight. */
+  /** There is no fixed limit, as admission control limits the requests in flight. */
   private static final int DEFAULT_MAX_IN_FLIGHT_REQUESTS = Integer.MAX_VALUE;
 
-  /** One request at a time on a connection, as in HTTP/1.1. */
+  /** A connection carries one request at a time, as in HTTP/1.1. */
   private static final int DEFAULT_STREAMS_PER_CONNECTION = 1;
 
-  /** Long enough for many round trips within a site. */
+  /** The connect timeout, which is long enough for many round trips within a site. */
   private static final long DEFAULT_CONNECT_TIMEOUT_NANOS = 250_000_000L;
 
-  /** The time within which a polled list is polled again; a pushed list is not polled. */
+  /** The longest time between two polls of a polled list. */
   private static final long DEFAULT_MAX_POLL_INTERVAL_NANOS = 10_000_000_000L;
 
-  /** The share of its capacity that an endpoint has when it starts. */
+  /** The fraction of its capacity that an endpoint has when it starts. */
   private static final double DEFAULT_INITIAL_CAPACITY = 0.1;
 
   /** The time after its start at which an endpoint has its full capacity. */
   private static final long DEFAULT_SLOW_START_NANOS = 30_000_000_000L;
 
-  /** The multiple of its current capacity above which a warming endpoint may fail. */
+  /** The multiple of its present capacity above which the load makes a warming endpoint fail. */
   private static final double DEFAULT_OVERLOAD_MULTIPLE = 1;
 
-  /** The time for which the load of a warming endpoint has to exceed that multiple. */
+  /** The time for which the load has to exceed that multiple before the endpoint fails. */
   private static final long DEFAULT_OVERLOAD_WINDOW_NANOS = 1_000_000_000L;
 
-  /** The points that a response in time earns. */
+  /** The value of a response in time. */
   private static final double DEFAULT_PRIORITY_WEIGHT = 1;
 
-  /** The weight factor of requests over their tenant's quota; at 1 they keep their full weight. */
+  /** A request over its tenant's quota keeps its full priority weight. */
   private static final double DEFAULT_OVER_QUOTA_WEIGHT = 1;
 
-  /** The time that may pass before an action is carried out. */
+  /** The longest delay between an action and its execution. */
   private static final long DEFAULT_TICK_NANOS = 1_000_000L;
 
   private SettingsDecoder() {}
--- a/src/main/java/loadbalancer/http/HttpProtocol.java
+++ b/src/main/java/loadbalancer/http/HttpProtocol.java
@@ -10,8 +10,8 @@
   public static final String HEALTH_PATH = "/healthz";
 
   /**
-   * The id of a request; every request of a client has its own, and so has each of the client's
-   * retries.
+   * The id of a request. Every request of a client has an id of its own, and so has each retry by
+   * the client.
    */
   public static final String TRACE_ID_HEADER = "X-Trace-Id";
 
@@ -24,7 +24,7 @@
   /** The time for which the sender will wait for the response, in whole milliseconds. */
   public static final String TIMEOUT_HEADER = "X-Expires-In-Ms";
 
-  /** Has the value 1 on a client's retry. */
+  /** Marks a client's retry of an earlier request, with the value 1. */
   public static final String RETRY_HEADER = "X-Second-Try";
 
   /** The work that the request is expected to cost, in whole microseconds. */
@@ -33,12 +33,10 @@
   /** The key by which upstreams recognise and drop the retry of a request that has run. */
   public static final String IDEMPOTENCY_KEY_HEADER = "Idempotency-Key";
 
-  /** Has the value 1 on the response of an upstream that rejected a request without running it. */
+  /** Marks the response of an upstream that rejected a request without running it; value 1. */
   public static final String NEVER_RAN_HEADER = "X-Never-Ran";
 
-  /**
-   * The cookie that holds the affinity key; requests with equal values go to the same endpoints.
-   */
+  /** The cookie that holds the affinity key. Requests with equal keys prefer the same endpoints. */
   public static final String AFFINITY_COOKIE = "sid";
 
   /** The maximum size of the body of a request or a response, in bytes. */
--- a/src/main/java/loadbalancer/json/MalformedInputException.java
+++ b/src/main/java/loadbalancer/json/MalformedInputException.java
@@ -39,8 +39,8 @@
   }
 
   /**
-   * Returns an exception for a field that is not allowed, or whose value has a problem that no type
-   * expresses.
+   * Returns an exception for a field that is not allowed, or whose value has the required type but
+   * is invalid.
    */
   public static MalformedInputException invalid(String path, String problem) {
     return new MalformedInputException("field " + path + ": " + problem, path, null, null, null);
--- a/src/main/java/loadbalancer/net/DescriptorBudget.java
+++ b/src/main/java/loadbalancer/net/DescriptorBudget.java
@@ -17,15 +17,15 @@
   private static final int PROCESS_DESCRIPTORS = 24;
 
   /**
-   * Descriptors that are kept spare. Up to 16 connections are accepted before one is closed in
-   * exchange, and a closed connection keeps its descriptor until the selector has run again.
-   * Without a free descriptor the acceptor would pause for a second.
+   * Descriptors that are kept spare. The listener accepts up to 16 connections before others are
+   * closed in exchange for them, and a closed connection keeps its descriptor until the selector
+   * has run again. Without a free descriptor the acceptor would pause for a second.
    */
   private static final int SPARE_DESCRIPTORS = 32;
 
   /**
-   * The share of the connections that clients may have: each request needs one more connection to
-   * its upstream.
+   * The share of the connections that clients may have. It is one half because each request also
+   * needs a connection to an upstream.
    */
   private static final double CLIENT_SHARE = 0.5;
 
@@ -54,7 +54,7 @@
     return openConnections < maxConnections;
   }
 
-  /** Returns whether more than half of the spare descriptors are in use as well. */
+  /** Returns whether connections occupy more than half of the spare descriptors. */
   public boolean isNearlyExhausted() {
     return openConnections > maxDescriptors - PROCESS_DESCRIPTORS - SPARE_DESCRIPTORS / 2;
   }
--- a/src/main/java/loadbalancer/net/InterruptTolerantChannel.java
+++ b/src/main/java/loadbalancer/net/InterruptTolerantChannel.java
@@ -24,7 +24,7 @@
   /** A read from a connection that returns a byte count as {@link SocketChannel#read} does. */
   @FunctionalInterface
   protected interface Read<E extends Exception> {
-    /** Reads once and returns the byte count. */
+    /** Reads once and returns the byte count; a count below -1 means that it was interrupted. */
     int read() throws E;
   }
 
--- a/src/main/java/loadbalancer/net/RoundingIoHandler.java
+++ b/src/main/java/loadbalancer/net/RoundingIoHandler.java
@@ -10,7 +10,7 @@
  * An I/O handler that rounds the selector's timeout up to whole milliseconds. The selector waits in
  * whole milliseconds, and Netty's handler rounds to the nearest: with less than half a millisecond
  * left it polls the sockets repeatedly until the timer is due, which wastes CPU time that a proxy
- * on a fraction of a core needs. In exchange timers fire up to a millisecond late.
+ * on a fraction of a core needs. The cost is that timers fire up to a millisecond late.
  */
 public final class RoundingIoHandler extends ForwardingIoHandler {
 
--- a/src/main/java/loadbalancer/simulator/ActionEncoder.java
+++ b/src/main/java/loadbalancer/simulator/ActionEncoder.java
@@ -76,7 +76,7 @@
     }
   }
 
-  /** Reports that the decision engine of an instance threw an exception. */
+  /** Writes a message that reports an exception thrown by an instance's decision engine. */
   static void writeFault(JsonGenerator out, RuntimeException exception) throws IOException {
     StackTraceElement[] trace = exception.getStackTrace();
     String location = trace.length == 0 ? "unknown place" : trace[0].toString();
--- a/src/main/java/loadbalancer/simulator/SimulateCommand.java
+++ b/src/main/java/loadbalancer/simulator/SimulateCommand.java
@@ -5,7 +5,7 @@
 import java.io.PrintStream;
 import loadbalancer.json.MalformedInputException;
 
-/** The subcommand by which the simulator drives decision engines. */
+/** The subcommand that runs decision engines for the simulator. */
 public final class SimulateCommand {
 
   private static final int SUCCESS = 0;
--- a/src/main/java/loadbalancer/simulator/SimulatorAdapter.java
+++ b/src/main/java/loadbalancer/simulator/SimulatorAdapter.java
@@ -27,7 +27,7 @@
  */
 final class SimulatorAdapter {
 
-  /** The buffer size in bytes, into which most batches and replies fit. */
+  /** The size of a buffer in bytes; most batches and replies fit into it. */
   private static final int BUFFER_SIZE = 1 << 16;
 
   private final JsonFactory json = new JsonFactory();
--- a/src/main/java/loadbalancer/simulator/SimulatorProtocol.java
+++ b/src/main/java/loadbalancer/simulator/SimulatorProtocol.java
@@ -1,26 +1,23 @@
 package loadbalancer.simulator;
 
-/** The names that the simulator's protocol gives to batches, messages and their fields. */
+/** The names of all messages and fields in the simulator's protocol. */
 final class SimulatorProtocol {
 
-  /** Fields of a batch and of the groups in it. */
+  // Fields of a batch, of the reply to it and of the groups in both.
   static final String CLOCK = "clock-ns";
-
   static final String GROUPS = "groups";
   static final String BALANCER = "balancer";
   static final String MESSAGES = "msgs";
   static final String ACTIONS = "actions";
 
-  /** Messages that start and end an instance, and their fields. */
+  // Messages that start and end an instance, and the fields of the first.
   static final String PROVISION = "Provision";
-
   static final String KILL = "Kill";
   static final String SEED = "seed";
   static final String SETTINGS = "boot-info";
 
-  /** Events. */
+  // Messages that are events.
   static final String ENDPOINT_LIST_UPDATE = "Topology";
-
   static final String REQUEST_ARRIVED = "JobIn";
   static final String RESPONSE_STARTED = "First";
   static final String ATTEMPT_ENDED = "Resolved";
@@ -29,9 +26,8 @@
   static final String HEALTH_CHECK_RESULT = "HealthResult";
   static final String GOSSIP_RECEIVED = "Datagram";
 
-  /** Actions. */
+  // Messages that are actions.
   static final String START_ATTEMPT = "Deliver";
-
   static final String CANCEL_ATTEMPT = "AbortAttempt";
   static final String REJECT_REQUEST = "Decline";
   static final String FAIL_REQUEST = "DropRequest";
@@ -43,21 +39,19 @@
   static final String SEND_GOSSIP = "BroadcastTo";
   static final String LOG_MESSAGE = "Emit";
 
-  /** The entry of a reply that reports an exception of the decision engine. */
+  /** The entry among a reply's actions that reports an exception of the decision engine. */
   static final String FAULT = "Fault";
 
-  /** Fields of both events and actions. */
+  // Fields of both events and actions.
   static final String REQUEST_ID = "rid";
-
   static final String ATTEMPT = "go";
   static final String ENDPOINT_ID = "upstream";
   static final String TIMER_TOKEN = "handle";
   static final String GOSSIP_DATA = "octets";
   static final String TEXT = "note-text";
 
-  /** Fields of events. */
+  // Fields of events.
   static final String CLASS_NAME = "service";
-
   static final String TENANT = "user-group";
   static final String AFFINITY_KEY = "object";
   static final String DEADLINE = "drop-dead-ns";
@@ -69,9 +63,8 @@
   static final String LOAD_REPORT = "usage";
   static final String GOSSIP_SENDER = "neighbour";
 
-  /** Fields of an endpoint list and of the endpoints in it. */
+  // Fields of an endpoint list update and of the endpoints in it.
   static final String UPDATE_KIND = "kind";
-
   static final String ENDPOINTS = "entries";
   static final String ZONE = "region-part";
   static final String CELL = "pack";
@@ -79,9 +72,8 @@
   static final String STARTED = "launched-ns";
   static final String WEIGHT = "capacity-hint";
 
-  /** Fields of actions. */
+  // Fields of actions.
   static final String TIMEOUT = "patience-ns";
-
   static final String RETRY_AFTER = "not-before-for-ns";
   static final String FIRE_AT = "fire-at-ns";
   static final String ENABLED = "enable";
--- a/src/main/java/loadbalancer/telemetry/AttemptRefusal.java
+++ b/src/main/java/loadbalancer/telemetry/AttemptRefusal.java
@@ -1,6 +1,6 @@
 package loadbalancer.telemetry;
 
-/** The reason why an attempt that the decision engine started was not written to a connection. */
+/** The reasons why an attempt that the decision engine started is not written to a connection. */
 public enum AttemptRefusal {
   /** The client no longer waits for a response, or already has its final one. */
   CLIENT_GONE,
--- a/src/main/java/loadbalancer/telemetry/BackgroundLogHandler.java
+++ b/src/main/java/loadbalancer/telemetry/BackgroundLogHandler.java
@@ -19,12 +19,12 @@
 public final class BackgroundLogHandler extends Handler {
 
   /**
-   * The capacity of the queue. It holds minutes of log at a few lines a second, and little memory
-   * even under the smallest memory limit.
+   * The capacity of the queue. A full queue holds minutes of log at a few lines a second, and is
+   * small even for the smallest memory limit.
    */
   private static final int MAX_QUEUED_LINES = 1024;
 
-  /** The longest time for which the process waits at its end for queued lines to be written. */
+  /** The longest time for which a flush waits for queued lines to be written. */
   private static final long MAX_FLUSH_MILLIS = 200;
 
   private static final long FLUSH_CHECK_MILLIS = 2;
--- a/src/main/java/loadbalancer/telemetry/EventLoopLagMonitor.java
+++ b/src/main/java/loadbalancer/telemetry/EventLoopLagMonitor.java
@@ -7,11 +7,14 @@
 /**
  * Measures the lag of the event loop, which is how long a request that is read now may have waited
  * unread in its socket. A client's time-out runs from the last byte of its request, whenever that
- * byte is read, and a response that arrives half a second late is lost. Confined to the event loop.
+ * byte is read, so the lag counts against the request's deadline; a response that is half a second
+ * late counts as lost. Confined to the event loop.
  */
 public final class EventLoopLagMonitor {
 
   private static final long TICK_PERIOD_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
+
+  /** The time from a late tick to the next one. */
   private static final long LATE_TICK_RECHECK_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
 
   private final EventLoop loop;
@@ -31,8 +34,8 @@
   }
 
   private void tick() {
-    // A late tick is recorded only in the loop's next iteration: in this one the sockets may not
-    // have been read since the delay.
+    // After a late tick the lag stays until the next tick, in a later iteration of the loop, as
+    // the sockets may not have been read since the delay.
     isTickLate = !isTickLate && clock.nowNanos() - lastTickNanos > 2 * TICK_PERIOD_NANOS;
     if (!isTickLate) {
       lastTickNanos = clock.nowNanos();
--- a/src/main/java/loadbalancer/telemetry/RequestTrace.java
+++ b/src/main/java/loadbalancer/telemetry/RequestTrace.java
@@ -25,8 +25,8 @@
   private static final int MAX_REQUEST_LINES_PER_PERIOD = 5;
 
   /**
-   * The time within which a rejection counts as immediate. Requests that are rejected later were
-   * queued or attempted before.
+   * The time after acceptance within which a rejection counts as immediate. A request that is
+   * rejected later was queued or attempted before.
    */
   private static final long IMMEDIATE_REJECTION_NANOS = TimeUnit.MILLISECONDS.toNanos(2);
 
@@ -61,7 +61,7 @@
     attemptCounts[status.ordinal()]++;
   }
 
-  /** Counts an attempt that the decision engine started but that was not written, by the reason. */
+  /** Counts an attempt that was started but not written to a connection, by the reason. */
   public void attemptRefused(AttemptRefusal refusal) {
     refusalCounts[refusal.ordinal()]++;
   }
--- a/src/test/java/loadbalancer/net/RoundingIoHandlerTest.java
+++ b/src/test/java/loadbalancer/net/RoundingIoHandlerTest.java
@@ -17,7 +17,7 @@
 
   private static final int TIMERS = 200;
 
-  /** One iteration that waits, one that runs the timer, and some margin. */
+  /** A timer takes one iteration that waits and one that runs it; the rest is a margin. */
   private static final int ITERATIONS_PER_TIMER = 6;
 
   /** Counts the iterations of an event loop. */
@@ -38,8 +38,8 @@
   }
 
   /**
-   * Polling through the last half millisecond before a timer takes hundreds of iterations for each
-   * timer.
+   * Guards against polling during the last half millisecond before each timer, which takes hundreds
+   * of iterations.
    */
   @Test
   void sleepsUntilTimerIsDue() throws Exception {
--- a/src/test/java/loadbalancer/simulator/DecisionRecorder.java
+++ b/src/test/java/loadbalancer/simulator/DecisionRecorder.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.condition.EnabledIfSystemProperty;
 
 /**
- * Records the engine's decisions again. No build runs this by itself:
+ * Records the engine's decisions again. A build does so only with this command:
  *
  * <pre>
  * mvn test -Dtest=DecisionRecorder -Ddecisions.record=true
--- a/src/test/java/loadbalancer/simulator/DecisionRecordings.java
+++ b/src/test/java/loadbalancer/simulator/DecisionRecordings.java
@@ -10,11 +10,11 @@
 import java.util.List;
 
 /**
- * The recordings of the engine's decisions under src/test/resources/decisions. Each short scenario
- * has a file in which a line with a batch of events and a line with the reply alternate. Each long
- * scenario has a line in digests.txt with its name, its seed, the number of events and the SHA-256
- * of the replies. {@link DecisionRecorder} writes the recordings, {@link DecisionRecordingTest}
- * compares against them.
+ * Locates the recordings of the engine's decisions under src/test/resources/decisions, and plays
+ * scenarios to produce their contents. Each short scenario has a file in which a line with a batch
+ * of events and a line with the reply alternate. Each long scenario has a line in digests.txt with
+ * its name, its seed, the number of events and the SHA-256 of the replies. {@link DecisionRecorder}
+ * writes the recordings, and {@link DecisionRecordingTest} compares against them.
  */
 final class DecisionRecordings {
 
--- a/src/test/java/loadbalancer/simulator/DecisionScenario.java
+++ b/src/test/java/loadbalancer/simulator/DecisionScenario.java
@@ -4,8 +4,9 @@
 
 /**
  * The input of a {@link ScenarioPlayer}: settings of the decision engine (boot-info in the
- * simulator's protocol), a model of clients and endpoints, and incidents at fixed times. Equal
- * scenarios yield equal events as long as the engine yields equal actions.
+ * simulator's protocol), a model of clients and endpoints, and incidents at fixed times. It ends
+ * after {@code maxBatches} batches or {@code maxEvents} events. Equal scenarios yield equal events
+ * as long as the engine yields equal actions.
  */
 record DecisionScenario(
     String name,
@@ -25,18 +26,20 @@
   /**
    * The model of clients and endpoints.
    *
-   * @param requestsPerSecond the mean rate of new requests, without retries
+   * @param requestsPerSecond the usual mean rate of requests, without the clients' retries
    * @param keys the number of affinity keys, of which the first are the most frequent; 0 for
    *     requests without a key
    * @param workHintNanos the usual work hint; 0 for requests without a hint
    * @param endpoints the number of endpoints that are listed at the start
    * @param zones the number of zones over which the endpoints are spread
-   * @param workersPerEndpoint the number of requests that an endpoint serves at once; others are
-   *     queued
-   * @param serviceTimeNanos the mean service time
-   * @param disconnectShare the share of requests whose client disconnects early
+   * @param workersPerEndpoint the number of requests that an endpoint serves at full speed; with
+   *     more in flight, responses take proportionally longer
+   * @param serviceTimeNanos the mean service time of a request with the usual work at a healthy,
+   *     warm endpoint that is not overloaded
+   * @param disconnectShare the share of requests whose client disconnects before a sixteenth of the
+   *     time to the deadline has passed
    * @param shortDeadlineShare the share of requests with an eighth of their class's deadline
-   * @param tickNanos the time between batches
+   * @param tickNanos the step of the clock; a step without events yields no batch
    */
   record Traffic(
       double requestsPerSecond,
@@ -50,7 +53,10 @@
       double shortDeadlineShare,
       long tickNanos) {}
 
-  /** An event that affects one endpoint, all endpoints, the endpoint list or the request rate. */
+  /**
+   * A change of one endpoint, all endpoints, the endpoint list or the request rate, {@code second}
+   * seconds after the start.
+   */
   record Incident(double second, IncidentKind kind, int endpoint) {
 
     /** The value of {@code endpoint} that stands for all endpoints. */
--- a/src/test/java/loadbalancer/simulator/DecisionScenarios.java
+++ b/src/test/java/loadbalancer/simulator/DecisionScenarios.java
@@ -84,7 +84,7 @@
         new ScenarioSettingsBuilder()
             .withPolledDiscovery()
             .withWeightKind("rough")
-            .withoutHedges()
+            .withoutHedgesOrCancellation()
             .withoutRetryAfter()
             .addTenant("t1", 0.6, 0)
             .addTenant("t2", 0.4, 0)
--- a/src/test/java/loadbalancer/simulator/EngineConversation.java
+++ b/src/test/java/loadbalancer/simulator/EngineConversation.java
@@ -7,9 +7,9 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Talks to the decision engine by the simulator's JSON protocol, which answers each line of events
- * with a line of actions. This is the only class for the recordings that refers to a class of the
- * main code.
+ * Exchanges JSON lines with the decision engine in the simulator's protocol: each batch of events
+ * gets a reply with actions. Of the classes for the recordings, this is the only one that refers to
+ * the main code.
  */
 final class EngineConversation {
 
@@ -57,6 +57,7 @@
       return count;
     }
 
+    /** Returns whether a byte is available, after asking for the next batch if necessary. */
     private boolean fillIfEmpty() {
       if (position < line.length) {
         return true;
--- a/src/test/java/loadbalancer/simulator/RecordingCoverage.java
+++ b/src/test/java/loadbalancer/simulator/RecordingCoverage.java
@@ -26,7 +26,11 @@
   private int workHintCount;
   private String firstOverdueRequest;
 
-  /** Counts a recording, in which batches and replies alternate. */
+  /**
+   * Adds the settings, events and decisions of a recording to the counts.
+   *
+   * @param lines batches and replies in turn
+   */
   void addRecording(List<String> lines) {
     requests.clear();
     endpoints.clear();
@@ -225,8 +229,8 @@
   }
 
   /**
-   * Counts an ejection once other endpoints have been sent three requests and the shortest ejection
-   * time is over.
+   * Counts an endpoint as ejected once, since its third failure in a row, other endpoints have got
+   * three attempts and the shortest ejection time has passed.
    */
   private void countAttemptElsewhere(Endpoint endpoint, boolean isAttempted) {
     if (isAttempted || endpoint.ejectedAtNanos == 0 || !endpoint.state.equals("up")) {
--- a/src/test/java/loadbalancer/simulator/ScenarioPlayer.java
+++ b/src/test/java/loadbalancer/simulator/ScenarioPlayer.java
@@ -67,7 +67,12 @@
     return eventCount;
   }
 
-  /** Executes the actions of a reply and returns the next batch of events, or null at the end. */
+  /**
+   * Executes the actions of a reply and returns the next batch of events.
+   *
+   * @param reply the engine's reply to the previous batch; null to start the scenario
+   * @return the batch, or null at the end of the scenario
+   */
   @Override
   public String apply(String reply) {
     if (reply == null) {
@@ -320,8 +325,8 @@
   }
 
   /**
-   * Chooses a tenant by the shares; while the request rate is raised, the first tenant exceeds its
-   * share.
+   * Returns the JSON field of a tenant chosen at random by the tenants' shares, or nothing without
+   * tenants. While the request rate is raised, the first tenant exceeds its share.
    */
   private String tenantField() {
     List<WireJson> tenants = settings.objects("projects");
@@ -473,7 +478,7 @@
         + "}";
   }
 
-  /** An action that is due at a clock reading; actions due at the same reading run in order. */
+  /** An action that is due at a clock reading; those due at the same reading run by order. */
   private record ScheduledAction(long atNanos, long order, Runnable action) {}
 
   /** A simulated endpoint. */
--- a/src/test/java/loadbalancer/simulator/ScenarioSettingsBuilder.java
+++ b/src/test/java/loadbalancer/simulator/ScenarioSettingsBuilder.java
@@ -62,7 +62,7 @@
     return this;
   }
 
-  /** Adds a tenant; a quota of 0 means that none is stated. */
+  /** Adds a tenant; with a quota of 0 the settings state no quota for it. */
   ScenarioSettingsBuilder addTenant(String name, double share, int quotaPerSecond) {
     tenants.add(
         "{\"name\":\""
@@ -100,7 +100,7 @@
     return this;
   }
 
-  ScenarioSettingsBuilder withoutHedges() {
+  ScenarioSettingsBuilder withoutHedgesOrCancellation() {
     canCancel = false;
     canHedge = false;
     return this;
