--- a/src/test/java/loadbalancer/simulator/DecisionScenario.java
+++ b/src/test/java/loadbalancer/simulator/DecisionScenario.java
@@ -27,11 +27,11 @@
    * The model of clients and endpoints.
    *
    * @param requestsPerSecond the usual mean rate of requests, without the clients' retries
-   * @param keys the number of affinity keys, of which the first are the most frequent; 0 for
-   *     requests without a key
+   * @param affinityKeyCount the number of affinity keys, of which the first are the most frequent;
+   *     0 for requests without a key
    * @param workHintNanos the usual work hint; 0 for requests without a hint
-   * @param endpoints the number of endpoints that are listed at the start
-   * @param zones the number of zones over which the endpoints are spread
+   * @param endpointCount the number of endpoints that are listed at the start
+   * @param zoneCount the number of zones over which the endpoints are spread
    * @param workersPerEndpoint the number of requests that an endpoint serves at full speed; with
    *     more in flight, responses take proportionally longer
    * @param serviceTimeNanos the mean service time of a request with the usual work at a healthy,
@@ -43,10 +43,10 @@
    */
   record Traffic(
       double requestsPerSecond,
-      int keys,
+      int affinityKeyCount,
       long workHintNanos,
-      int endpoints,
-      int zones,
+      int endpointCount,
+      int zoneCount,
       int workersPerEndpoint,
       long serviceTimeNanos,
       double disconnectShare,
@@ -57,9 +57,9 @@
    * A change of one endpoint, all endpoints, the endpoint list or the request rate, {@code second}
    * seconds after the start.
    */
-  record Incident(double second, IncidentKind kind, int endpoint) {
+  record Incident(double second, IncidentKind kind, int endpointIndex) {
 
-    /** The value of {@code endpoint} that stands for all endpoints. */
+    /** The value of {@code endpointIndex} that stands for all endpoints. */
     static final int ALL_ENDPOINTS = -1;
 
     long atNanos() {
--- a/src/test/java/loadbalancer/simulator/DecisionScenarios.java
+++ b/src/test/java/loadbalancer/simulator/DecisionScenarios.java
@@ -241,7 +241,7 @@
         Integer.MAX_VALUE);
   }
 
-  /** Parses an incident given by its second, kind and endpoint. */
+  /** Parses an incident given by its second, its kind and the index of its endpoint. */
   private static Incident incident(String text) {
     String[] parts = text.split(" ", 0);
     return new Incident(
@@ -265,14 +265,14 @@
   private static DecisionScenario longScenario(DecisionScenario base, int loadLevel) {
     long seed = base.seed() * 100 + loadLevel;
     Traffic baseTraffic = base.traffic();
-    double ratePerEndpoint = baseTraffic.requestsPerSecond() / baseTraffic.endpoints();
+    double ratePerEndpoint = baseTraffic.requestsPerSecond() / baseTraffic.endpointCount();
     Traffic traffic =
         new Traffic(
             ratePerEndpoint * LONG_SCENARIO_ENDPOINTS * (1 + 1.5 * loadLevel),
-            baseTraffic.keys() * 20,
+            baseTraffic.affinityKeyCount() * 20,
             baseTraffic.workHintNanos(),
             LONG_SCENARIO_ENDPOINTS,
-            baseTraffic.zones(),
+            baseTraffic.zoneCount(),
             baseTraffic.workersPerEndpoint() + 1,
             baseTraffic.serviceTimeNanos(),
             baseTraffic.disconnectShare(),
@@ -299,11 +299,11 @@
     for (double second = 2; second < LONG_SCENARIO_SECONDS; second += 2 * random.nextDouble()) {
       IncidentKind kind = kinds[random.nextInt(kinds.length)];
       boolean isFleetWide = random.nextInt(5) == 0 && kind.ordinal() < IncidentKind.DRAIN.ordinal();
-      int endpoint =
+      int endpointIndex =
           isFleetWide ? Incident.ALL_ENDPOINTS : random.nextInt(LONG_SCENARIO_ENDPOINTS + 2);
-      incidents.add(new Incident(second, kind, endpoint));
+      incidents.add(new Incident(second, kind, endpointIndex));
       double end = second + (isFleetWide ? 0.5 : 3) * (0.5 + random.nextDouble());
-      incidents.add(new Incident(end, recovery(kind), endpoint));
+      incidents.add(new Incident(end, recovery(kind), endpointIndex));
     }
     return incidents;
   }
--- a/src/test/java/loadbalancer/simulator/EngineConversation.java
+++ b/src/test/java/loadbalancer/simulator/EngineConversation.java
@@ -32,7 +32,7 @@
 
     private final UnaryOperator<String> peer;
     private final ByteArrayOutputStream replies;
-    private byte[] line = {};
+    private byte[] lineBytes = {};
     private int position;
     private boolean hasStarted;
 
@@ -43,7 +43,7 @@
 
     @Override
     public int read() {
-      return fillIfEmpty() ? line[position++] & 0xff : -1;
+      return fillIfEmpty() ? lineBytes[position++] & 0xff : -1;
     }
 
     @Override
@@ -51,20 +51,20 @@
       if (!fillIfEmpty()) {
         return -1;
       }
-      int count = Math.min(length, line.length - position);
-      System.arraycopy(line, position, target, offset, count);
+      int count = Math.min(length, lineBytes.length - position);
+      System.arraycopy(lineBytes, position, target, offset, count);
       position += count;
       return count;
     }
 
     /** Returns whether a byte is available, after asking for the next batch if necessary. */
     private boolean fillIfEmpty() {
-      if (position < line.length) {
+      if (position < lineBytes.length) {
         return true;
       }
       String batch = peer.apply(hasStarted ? lastReply() : null);
       hasStarted = true;
-      line = batch == null ? new byte[0] : (batch + "\n").getBytes(StandardCharsets.UTF_8);
+      lineBytes = batch == null ? new byte[0] : (batch + "\n").getBytes(StandardCharsets.UTF_8);
       position = 0;
       return batch != null;
     }
--- a/src/test/java/loadbalancer/simulator/ScenarioPlayer.java
+++ b/src/test/java/loadbalancer/simulator/ScenarioPlayer.java
@@ -57,7 +57,7 @@
     settings = WireJson.parse(scenario.settings());
     random = new SplittableRandom(scenario.seed());
     isWatching = !"on_request".equals(settings.text("registry-mode"));
-    for (int i = 0; i < traffic.endpoints(); i++) {
+    for (int i = 0; i < traffic.endpointCount(); i++) {
       endpoint(i).isListed = true;
     }
   }
@@ -298,11 +298,12 @@
             + (request.isRetry ? ",\"retry\":true" : ""));
     if (random.nextDouble() < traffic.disconnectShare()) {
       schedule(
-          nowNanos + (long) (random.nextDouble() * timeoutNanos / 16), () -> disconnect(request));
+          nowNanos + (long) (random.nextDouble() * timeoutNanos / 16),
+          () -> disconnectIfWaiting(request));
     }
     schedule(
         request.deadlineNanos + settings.nested("contract").integer("answer-slack-ns"),
-        () -> disconnect(request));
+        () -> disconnectIfWaiting(request));
   }
 
   private ClientRequest newRequest() {
@@ -342,12 +343,12 @@
 
   private String affinityKeyField() {
     double point = random.nextDouble();
-    return traffic.keys() == 0
+    return traffic.affinityKeyCount() == 0
         ? ""
-        : ",\"object\":\"k" + (int) (traffic.keys() * point * point * point) + "\"";
+        : ",\"object\":\"k" + (int) (traffic.affinityKeyCount() * point * point * point) + "\"";
   }
 
-  private void disconnect(ClientRequest request) {
+  private void disconnectIfWaiting(ClientRequest request) {
     if (!request.isEnded && !request.hasResponseStarted) {
       request.isEnded = true;
       send("Aborted", "\"rid\":\"" + request.id + "\"");
@@ -367,9 +368,9 @@
   }
 
   private List<Endpoint> affectedEndpoints(Incident incident) {
-    return incident.endpoint() == Incident.ALL_ENDPOINTS
+    return incident.endpointIndex() == Incident.ALL_ENDPOINTS
         ? List.copyOf(endpoints.values())
-        : List.of(endpoint(incident.endpoint()));
+        : List.of(endpoint(incident.endpointIndex()));
   }
 
   private void applyIncident(Endpoint endpoint, IncidentKind kind) {
@@ -388,11 +389,11 @@
 
   // The endpoint list
 
-  private Endpoint endpoint(int number) {
+  private Endpoint endpoint(int index) {
     return endpoints.computeIfAbsent(
-        number,
+        index,
         n -> {
-          Endpoint endpoint = new Endpoint(n, traffic.zones());
+          Endpoint endpoint = new Endpoint(n, traffic.zoneCount());
           endpointsById.put(endpoint.id, endpoint);
           return endpoint;
         });
@@ -495,11 +496,11 @@
     int inFlight;
     boolean isListed;
 
-    Endpoint(int number, int zones) {
-      id = 11 + 7L * number;
-      zone = String.valueOf((char) ('a' + number % zones));
-      cell = number % zones * 10 + number / zones / 2;
-      weight = WEIGHTS[number % WEIGHTS.length];
+    Endpoint(int index, int zoneCount) {
+      id = 11 + 7L * index;
+      zone = String.valueOf((char) ('a' + index % zoneCount));
+      cell = index % zoneCount * 10 + index / zoneCount / 2;
+      weight = WEIGHTS[index % WEIGHTS.length];
     }
   }
 
