--- a/src/main/java/loadbalancer/config/BalancerConfigParser.java
+++ b/src/main/java/loadbalancer/config/BalancerConfigParser.java
@@ -14,7 +14,7 @@
 /** Parses the configuration of one instance; unknown fields are ignored. */
 final class BalancerConfigParser {
 
-  /** The descriptor limit if the file states none, which is the usual limit of a process. */
+  /** The descriptor limit if the file states none; it is the usual limit of a process. */
   private static final int DEFAULT_MAX_DESCRIPTORS = 1024;
 
   /** The memory limit if the file states none. */
@@ -47,9 +47,9 @@
         (int) limits.integer("sockets", DEFAULT_MAX_DESCRIPTORS),
         limits.integer("memory_mb", DEFAULT_MEMORY_MIB) << BYTES_PER_MIB_SHIFT,
         addressOrNull("peer_listen"),
-        peers(),
+        instanceAddresses(),
         addressOrNull("peers_all"),
-        knownEndpoints(),
+        initialEndpoints(),
         SettingsDecoder.decode(settings),
         settings.objectOrEmpty("limits").integer("conn-idle-ns", DEFAULT_IDLE_TIMEOUT_NANOS),
         hasLoadReports(settings));
@@ -73,15 +73,15 @@
     return fields.has(name) ? SocketAddresses.parse(name, fields.text(name)) : null;
   }
 
-  private List<InetSocketAddress> peers() {
-    List<InetSocketAddress> peers = new ArrayList<>();
+  private List<InetSocketAddress> instanceAddresses() {
+    List<InetSocketAddress> addresses = new ArrayList<>();
     for (String peer : fields.textsOrEmpty("peers")) {
-      peers.add(SocketAddresses.parse("peers", peer));
+      addresses.add(SocketAddresses.parse("peers", peer));
     }
-    return peers;
+    return addresses;
   }
 
-  private EndpointList knownEndpoints() {
+  private EndpointList initialEndpoints() {
     return fields.has("known")
         ? EndpointListParser.parse(fields.object("known"))
         : EndpointList.EMPTY;
--- a/src/main/java/loadbalancer/config/SettingsDecoder.java
+++ b/src/main/java/loadbalancer/config/SettingsDecoder.java
@@ -21,62 +21,64 @@
  */
 public final class SettingsDecoder {
 
-  private static final Map<String, Idempotence> IDEMPOTENCE =
+  private static final Map<String, Idempotence> IDEMPOTENCE_KINDS =
       Map.of(
           "idempotent", Idempotence.IDEMPOTENT,
           "deduplicated", Idempotence.IDEMPOTENCY_KEY,
           "at_most_once", Idempotence.NON_IDEMPOTENT);
-  private static final Map<String, DedupScope> DEDUP_SCOPE =
+  private static final Map<String, DedupScope> DEDUP_SCOPES =
       Map.of("all", DedupScope.ALL, "zone", DedupScope.ZONE, "cell", DedupScope.CELL);
-  private static final Map<String, WeightKind> WEIGHT_KIND =
+  private static final Map<String, WeightKind> WEIGHT_KINDS =
       Map.of(
           "none", WeightKind.NONE,
           "nominal", WeightKind.NOMINAL,
           "rough", WeightKind.ROUGH,
           "live", WeightKind.LIVE);
-  private static final Map<String, Boolean> POLLED_DISCOVERY =
+
+  /** Whether the endpoint list is polled, by the name of the discovery mode. */
+  private static final Map<String, Boolean> IS_POLLED_BY_DISCOVERY_MODE =
       Map.of("pushed", false, "on_request", true);
 
-  /** The safe default: a request that is not known to be idempotent never runs twice. */
+  /** A request that is not known to be idempotent must not run twice. */
   private static final Idempotence DEFAULT_IDEMPOTENCE = Idempotence.NON_IDEMPOTENT;
 
-  /** The narrowest scope: a repeat is only sent to endpoints that are certain to recognise it. */
+  /** The narrowest scope, so that repeats go only to endpoints that certainly recognise them. */
   private static final DedupScope DEFAULT_DEDUP_SCOPE = DedupScope.CELL;
 
-  /** A single attempt without retries. */
+  /** A request gets a single attempt and no retries. */
   private static final int DEFAULT_MAX_ATTEMPTS = 1;
 
-  /** No separate limit: admission control limits the requests in flight. */
+  /** There is no fixed limit, as admission control limits the requests in flight. */
   private static final int DEFAULT_MAX_IN_FLIGHT_REQUESTS = Integer.MAX_VALUE;
 
-  /** One request at a time on a connection, as in HTTP/1.1. */
+  /** A connection carries one request at a time, as in HTTP/1.1. */
   private static final int DEFAULT_STREAMS_PER_CONNECTION = 1;
 
-  /** Long enough for many round trips within a site. */
+  /** The connect timeout, which is long enough for many round trips within a site. */
   private static final long DEFAULT_CONNECT_TIMEOUT_NANOS = 250_000_000L;
 
-  /** The time within which a polled list is polled again; a pushed list is not polled. */
-  private static final long DEFAULT_POLL_WITHIN_NANOS = 10_000_000_000L;
+  /** The longest time between two polls of a polled list. */
+  private static final long DEFAULT_MAX_POLL_INTERVAL_NANOS = 10_000_000_000L;
 
-  /** The share of its capacity that an endpoint has when it starts. */
+  /** The fraction of its capacity that an endpoint has when it starts. */
   private static final double DEFAULT_INITIAL_CAPACITY = 0.1;
 
   /** The time after its start at which an endpoint has its full capacity. */
   private static final long DEFAULT_SLOW_START_NANOS = 30_000_000_000L;
 
-  /** The multiple of its current capacity above which a warming endpoint may fail. */
+  /** The multiple of its present capacity above which the load makes a warming endpoint fail. */
   private static final double DEFAULT_OVERLOAD_MULTIPLE = 1;
 
-  /** The time for which the load of a warming endpoint has to exceed that multiple. */
+  /** The time for which the load has to exceed that multiple before the endpoint fails. */
   private static final long DEFAULT_OVERLOAD_WINDOW_NANOS = 1_000_000_000L;
 
-  /** The points that a response in time earns. */
+  /** The value of a response in time. */
   private static final double DEFAULT_PRIORITY_WEIGHT = 1;
 
-  /** The weight factor of requests over their tenant's quota; at 1 they keep their full weight. */
+  /** A request over its tenant's quota keeps its full priority weight. */
   private static final double DEFAULT_OVER_QUOTA_WEIGHT = 1;
 
-  /** The time that may pass before an action is carried out. */
+  /** The longest delay between an action and its execution. */
   private static final long DEFAULT_TICK_NANOS = 1_000_000L;
 
   private SettingsDecoder() {}
@@ -88,7 +90,8 @@
    * @throws IllegalArgumentException if a value is out of its range
    */
   public static Settings decode(JsonFields settings) {
-    boolean polledDiscovery = settings.constant("registry-mode", POLLED_DISCOVERY, false);
+    boolean isDiscoveryPolled =
+        settings.constant("registry-mode", IS_POLLED_BY_DISCOVERY_MODE, false);
     return new Settings(
         (int) settings.integer("me", 0),
         (int) settings.integer("group-size", 1),
@@ -96,10 +99,10 @@
         classes(settings),
         tenants(settings),
         limits(settings.objectOrEmpty("limits")),
-        contract(settings.objectOrEmpty("contract"), polledDiscovery),
+        contract(settings.objectOrEmpty("contract"), isDiscoveryPolled),
         prices(settings.objectOrEmpty("prices")),
-        polledDiscovery,
-        settings.constant("weight-kind", WEIGHT_KIND, WeightKind.NONE),
+        isDiscoveryPolled,
+        settings.constant("weight-kind", WEIGHT_KINDS, WeightKind.NONE),
         settings.number("over-share-worth", DEFAULT_OVER_QUOTA_WEIGHT),
         settings.objectOrEmpty("domain").bool("warm-keys", false),
         settings.integer("resolution-ns", DEFAULT_TICK_NANOS));
@@ -121,8 +124,8 @@
     long latencyObjectiveNanos = fields.integer("aim-ns");
     return new RequestClass(
         fields.text("name"),
-        fields.constant("effect", IDEMPOTENCE, DEFAULT_IDEMPOTENCE),
-        fields.constant("dedup-scope", DEDUP_SCOPE, DEFAULT_DEDUP_SCOPE),
+        fields.constant("effect", IDEMPOTENCE_KINDS, DEFAULT_IDEMPOTENCE),
+        fields.constant("dedup-scope", DEDUP_SCOPES, DEFAULT_DEDUP_SCOPE),
         fields.integer("window-ns", 0),
         latencyObjectiveNanos,
         fields.number("aim-stretch", 0),
@@ -156,10 +159,10 @@
         fields.integer("connect-timeout-ns", DEFAULT_CONNECT_TIMEOUT_NANOS));
   }
 
-  private static ServiceContract contract(JsonFields fields, boolean polledDiscovery) {
+  private static ServiceContract contract(JsonFields fields, boolean isDiscoveryPolled) {
     return new ServiceContract(
         fields.integer("answer-slack-ns", 0),
-        fields.integer("ask-within-ns", polledDiscovery ? DEFAULT_POLL_WITHIN_NANOS : 0),
+        fields.integer("ask-within-ns", isDiscoveryPolled ? DEFAULT_MAX_POLL_INTERVAL_NANOS : 0),
         fields.integer("drain-grace-ns", 0),
         fields.number("cold-from", DEFAULT_INITIAL_CAPACITY),
         fields.integer("warm-within-ns", DEFAULT_SLOW_START_NANOS),
--- a/src/test/java/loadbalancer/simulator/EngineConversation.java
+++ b/src/test/java/loadbalancer/simulator/EngineConversation.java
@@ -7,9 +7,9 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Talks to the decision engine by the simulator's JSON protocol, which answers each line of events
- * with a line of actions. This is the only class for the recordings that refers to a class of the
- * main code.
+ * Exchanges JSON lines with the decision engine in the simulator's protocol: each batch of events
+ * gets a reply with actions. Of the classes for the recordings, this is the only one that refers to
+ * the main code.
  */
 final class EngineConversation {
 
@@ -32,9 +32,9 @@
 
     private final UnaryOperator<String> peer;
     private final ByteArrayOutputStream replies;
-    private byte[] line = {};
+    private byte[] lineBytes = {};
     private int position;
-    private boolean started;
+    private boolean hasStarted;
 
     BatchInput(UnaryOperator<String> peer, ByteArrayOutputStream replies) {
       this.peer = peer;
@@ -43,27 +43,28 @@
 
     @Override
     public int read() {
-      return fill() ? line[position++] & 0xff : -1;
+      return fillIfEmpty() ? lineBytes[position++] & 0xff : -1;
     }
 
     @Override
     public int read(byte[] target, int offset, int length) {
-      if (!fill()) {
+      if (!fillIfEmpty()) {
         return -1;
       }
-      int count = Math.min(length, line.length - position);
-      System.arraycopy(line, position, target, offset, count);
+      int count = Math.min(length, lineBytes.length - position);
+      System.arraycopy(lineBytes, position, target, offset, count);
       position += count;
       return count;
     }
 
-    private boolean fill() {
-      if (position < line.length) {
+    /** Returns whether a byte is available, after asking for the next batch if necessary. */
+    private boolean fillIfEmpty() {
+      if (position < lineBytes.length) {
         return true;
       }
-      String batch = peer.apply(started ? lastReply() : null);
-      started = true;
-      line = batch == null ? new byte[0] : (batch + "\n").getBytes(StandardCharsets.UTF_8);
+      String batch = peer.apply(hasStarted ? lastReply() : null);
+      hasStarted = true;
+      lineBytes = batch == null ? new byte[0] : (batch + "\n").getBytes(StandardCharsets.UTF_8);
       position = 0;
       return batch != null;
     }
