--- a/src/main/java/loadbalancer/decision/AdaptiveRateLimiter.java
+++ b/src/main/java/loadbalancer/decision/AdaptiveRateLimiter.java
@@ -55,7 +55,7 @@
     // Requests of less weight are rejected sooner, so a tenant over its quota is throttled first.
     double weight = context.settings.overQuotaWeight();
     double latencyFactor =
-        request.isOverQuota
+        request.overQuota
             ? OVER_QUOTA_LATENCY_FACTOR + (1 - OVER_QUOTA_LATENCY_FACTOR) * weight
             : 1;
     double mean = worseMeanLatency(request);
@@ -68,13 +68,12 @@
             maxRate,
             maxRate * MIN_RATE_FRACTION);
     // With less load than while the fleet is healthy, this instance does not cause the overload.
-    boolean isBelowBaseline = registry.readyLoad + queued < baselineLoad * registry.ready.length;
-    boolean isWithinQuotaBelowBaseline =
-        isBelowBaseline && request.hasQuota && !request.isOverQuota;
-    boolean hasReachedMaxGap = context.now - lastAdmittedAt >= MAX_ADMISSION_GAP_NANOS;
+    boolean belowBaseline = registry.readyLoad + queued < baselineLoad * registry.ready.length;
+    boolean withinQuotaBelowBaseline = belowBaseline && request.hasQuota && !request.overQuota;
+    boolean maxGapReached = context.now - lastAdmittedAt >= MAX_ADMISSION_GAP_NANOS;
     if (route.total(context.now, Metric.ADMITTED) >= allowed
-        && !isWithinQuotaBelowBaseline
-        && !hasReachedMaxGap) {
+        && !withinQuotaBelowBaseline
+        && !maxGapReached) {
       return false;
     }
     lastAdmittedAt = context.now;
--- a/src/main/java/loadbalancer/decision/Attempt.java
+++ b/src/main/java/loadbalancer/decision/Attempt.java
@@ -5,10 +5,10 @@
 
   final TrackedEndpoint endpoint;
   final long startedAt;
-  boolean isInFlight = true;
+  boolean inFlight = true;
   boolean mayHaveRun = true; // or may still run
   boolean mayHaveBeenSent = true; // or may still be sent
-  boolean isLate; // was past the latency objective at a sweep
+  boolean late; // was past the latency objective at a sweep
 
   Attempt(TrackedEndpoint endpoint, long startedAt) {
     this.endpoint = endpoint;
--- a/src/main/java/loadbalancer/decision/BoundedLoadBalancer.java
+++ b/src/main/java/loadbalancer/decision/BoundedLoadBalancer.java
@@ -33,15 +33,15 @@
 
   private final DecisionContext context;
   private final EndpointRegistry registry;
-  private final AdaptiveRateLimiter limiter;
+  private final AdaptiveRateLimiter rateLimiter;
   private final IdempotencePolicy idempotence;
   private long pickNumber; // number of the present pick
 
   BoundedLoadBalancer(
-      DecisionContext context, EndpointRegistry registry, AdaptiveRateLimiter limiter) {
+      DecisionContext context, EndpointRegistry registry, AdaptiveRateLimiter rateLimiter) {
     this.context = context;
     this.registry = registry;
-    this.limiter = limiter;
+    this.rateLimiter = rateLimiter;
     idempotence = new IdempotencePolicy(context);
   }
 
@@ -58,20 +58,20 @@
     pickNumber++;
     for (int seen = 0, local = 0; seen < readyCount && local < maxLocalCandidates; ) {
       TrackedEndpoint endpoint = registry.endpointAt(walk.nextSlot());
-      boolean isVisited = endpoint.lastPickNumber == pickNumber;
+      boolean visited = endpoint.lastPickNumber == pickNumber;
       endpoint.lastPickNumber = pickNumber;
-      seen += isVisited ? 0 : 1;
-      if (isVisited || !isEligible(request, endpoint)) {
+      seen += visited ? 0 : 1;
+      if (visited || !isEligible(request, endpoint)) {
         continue;
       }
-      boolean hasCapacity = endpoint.load < bound(endpoint);
-      boolean isChosen = hasCapacity && retainsKey(endpoint, hash);
+      boolean belowBound = endpoint.load < bound(endpoint);
+      boolean chosen = belowBound && retainsKey(endpoint, hash);
       if (!endpoint.listEntry.zone().equals(context.settings.zone())) {
-        remote = remote == null && isChosen ? endpoint : remote;
-      } else if (isChosen) {
+        remote = remote == null && chosen ? endpoint : remote;
+      } else if (chosen) {
         return endpoint;
       } else {
-        slowLocal = hasCapacity ? faster(slowLocal, endpoint) : slowLocal;
+        slowLocal = belowBound ? faster(slowLocal, endpoint) : slowLocal;
         local++;
       }
     }
@@ -80,7 +80,7 @@
   }
 
   private double maxLocalCandidates(InFlightRequest request, int readyCount) {
-    double spread = Math.ceil(KEY_SPREAD * readyCount * limiter.keyShare(request));
+    double spread = Math.ceil(KEY_SPREAD * readyCount * rateLimiter.keyShare(request));
     return context.settings.keyAffinity() ? KEY_SPREAD + spread : readyCount;
   }
 
@@ -91,8 +91,8 @@
         && registry.outliers.isReliableFor(request, endpoint);
   }
 
-  private TrackedEndpoint faster(TrackedEndpoint best, TrackedEndpoint endpoint) {
-    return best == null || slowness(endpoint) < slowness(best) ? endpoint : best;
+  private TrackedEndpoint faster(TrackedEndpoint fastest, TrackedEndpoint endpoint) {
+    return fastest == null || slowness(endpoint) < slowness(fastest) ? endpoint : fastest;
   }
 
   private double slowness(TrackedEndpoint endpoint) {
--- a/src/main/java/loadbalancer/decision/EndpointRegistry.java
+++ b/src/main/java/loadbalancer/decision/EndpointRegistry.java
@@ -77,21 +77,21 @@
    * flight. In the latter case it is removed from the registry.
    */
   private boolean removeIfDeparted(TrackedEndpoint endpoint) {
-    boolean isListedAgain = endpoint.listEntry.state() != EndpointState.GONE;
-    if (!isListedAgain && endpoint.attemptsInFlight == 0) {
+    boolean listedAgain = endpoint.listEntry.state() != EndpointState.GONE;
+    if (!listedAgain && endpoint.attemptsInFlight == 0) {
       endpoints.remove(endpoint.id);
     }
-    return isListedAgain || endpoint.attemptsInFlight == 0;
+    return listedAgain || endpoint.attemptsInFlight == 0;
   }
 
   private void updateRing(List<TrackedEndpoint> updated) {
     List<TrackedEndpoint> joining = new ArrayList<>();
     List<HashRing.Member> leaving = new ArrayList<>();
     for (TrackedEndpoint endpoint : updated) {
-      boolean isOnRing = endpoint.ringMember != null;
-      if (endpoint.isReady() && !isOnRing) {
+      boolean onRing = endpoint.ringMember != null;
+      if (endpoint.isReady() && !onRing) {
         joining.add(endpoint);
-      } else if (!endpoint.isReady() && isOnRing) {
+      } else if (!endpoint.isReady() && onRing) {
         leaving.add(endpoint.ringMember);
         bySlot.set(endpoint.ringMember.slot(), null);
         endpoint.ringMember = null;
@@ -157,8 +157,8 @@
   }
 
   private int pointCount(TrackedEndpoint endpoint) {
-    boolean isWeighted = context.settings.weightKind().isSizeBased();
-    double weight = isWeighted && medianWeight > 0 ? endpoint.listEntry.weight() / medianWeight : 1;
+    boolean weighted = context.settings.weightKind().isSizeBased();
+    double weight = weighted && medianWeight > 0 ? endpoint.listEntry.weight() / medianWeight : 1;
     return (int)
         Math.round(POINTS_PER_ENDPOINT * Math.min(MAX_WEIGHT, Math.max(1 / MAX_WEIGHT, weight)));
   }
--- a/src/main/java/loadbalancer/decision/HedgePolicy.java
+++ b/src/main/java/loadbalancer/decision/HedgePolicy.java
@@ -1,7 +1,8 @@
 package loadbalancer.decision;
 
 /** Decides when a request gets a second attempt while its first is at a silent endpoint. */
-record HedgePolicy(DecisionContext context, AdaptiveRateLimiter limiter, OutlierDetector outliers) {
+record HedgePolicy(
+    DecisionContext context, AdaptiveRateLimiter rateLimiter, OutlierDetector outliers) {
 
   /**
    * Returns whether to hedge a request: the deployment permits it, the endpoint of its last attempt
@@ -12,7 +13,7 @@
     return context.settings.limits().hedging()
         && context.settings.limits().cancellation()
         && outliers.isSilent(last.endpoint)
-        && limiter.fleetMeanLatency() <= AdaptiveRateLimiter.HEALTHY_LATENCY
+        && rateLimiter.fleetMeanLatency() <= AdaptiveRateLimiter.HEALTHY_LATENCY
         && context.now - request.arrivedAt <= request.type.latencyObjectiveNanos();
   }
 }
--- a/src/main/java/loadbalancer/decision/IdempotencePolicy.java
+++ b/src/main/java/loadbalancer/decision/IdempotencePolicy.java
@@ -16,8 +16,8 @@
   boolean canAttempt(InFlightRequest request, TrackedEndpoint endpoint, int readyCount) {
     boolean hasOtherEndpoints = readyCount > request.attempts.size();
     for (Attempt earlier : request.attempts) {
-      boolean isAvoided = earlier.endpoint == endpoint && (earlier.isInFlight || hasOtherEndpoints);
-      if (isAvoided
+      boolean avoided = earlier.endpoint == endpoint && (earlier.inFlight || hasOtherEndpoints);
+      if (avoided
           || (earlier.mayHaveRun && !canRepeat(request.type, earlier, endpoint.listEntry))) {
         return false;
       }
@@ -31,13 +31,13 @@
     }
     Endpoint first = earlier.endpoint.listEntry;
     DedupScope scope = type.dedupScope();
-    boolean isRecognised =
+    boolean recognised =
         scope == DedupScope.ALL
             || (scope == DedupScope.ZONE && first.zone().equals(endpoint.zone()))
             || (scope == DedupScope.CELL && first.cell() == endpoint.cell());
     // One tick shorter, because an attempt may be sent up to a tick after it is decided on.
     long window = type.dedupWindowNanos() - context.settings.tickNanos();
-    return isRecognised && context.now - earlier.startedAt < window;
+    return recognised && context.now - earlier.startedAt < window;
   }
 
   /** Returns whether a request may have run and, not being idempotent, must not run again. */
@@ -48,8 +48,8 @@
   /** Returns whether the client may safely repeat a request, as it may after a rejection. */
   static boolean canReject(InFlightRequest request) {
     Idempotence idempotence = request.type.idempotence();
-    boolean isKeyedForAll =
+    boolean keyedForAll =
         idempotence == Idempotence.IDEMPOTENCY_KEY && request.type.dedupScope() == DedupScope.ALL;
-    return idempotence == Idempotence.IDEMPOTENT || isKeyedForAll || !request.mayHaveRun();
+    return idempotence == Idempotence.IDEMPOTENT || keyedForAll || !request.mayHaveRun();
   }
 }
--- a/src/main/java/loadbalancer/decision/InFlightRequest.java
+++ b/src/main/java/loadbalancer/decision/InFlightRequest.java
@@ -14,7 +14,7 @@
 
   // Set once, by RequestClassifier.
   boolean hasQuota;
-  boolean isOverQuota;
+  boolean overQuota;
   double priority; // the value of a response in time
   SlidingWindow routeWindow; // of its class and tenant, within or over quota
   SlidingWindow keyWindow; // of its affinity key within its route
@@ -23,8 +23,8 @@
   // Written by RequestLifecycle.
   final List<Attempt> attempts = new ArrayList<>(1);
   int attemptsInFlight;
-  boolean isAnswered;
-  boolean isStreaming;
+  boolean answered;
+  boolean streaming;
 
   InFlightRequest(Event.RequestArrived arrival, RequestClass type, long now) {
     this.arrival = arrival;
@@ -37,7 +37,7 @@
   }
 
   boolean isInFlight(int attempt) {
-    return attempt < attempts.size() && attempts.get(attempt).isInFlight;
+    return attempt < attempts.size() && attempts.get(attempt).inFlight;
   }
 
   /** Returns whether an attempt was or may still be sent: another one uses the retry budget. */
--- a/src/main/java/loadbalancer/decision/OutcomeRecorder.java
+++ b/src/main/java/loadbalancer/decision/OutcomeRecorder.java
@@ -6,7 +6,7 @@
 
 /** Records the outcomes of attempts in the statistics of their endpoints and of the fleet. */
 record OutcomeRecorder(
-    DecisionContext context, AdaptiveRateLimiter limiter, OutlierDetector outliers) {
+    DecisionContext context, AdaptiveRateLimiter rateLimiter, OutlierDetector outliers) {
 
   private static final double MAX_LATENCY = Double.MAX_VALUE; // of attempts rejected or late
 
@@ -15,7 +15,7 @@
     if (status == AttemptStatus.SUCCESS) {
       recordSuccess(request, attempt.endpoint, end.latencyNanos());
     } else if (status == AttemptStatus.REJECTED) {
-      outliers.addLatency(attempt.endpoint, MAX_LATENCY, limiter.fleetMeanLatency());
+      outliers.addLatency(attempt.endpoint, MAX_LATENCY, rateLimiter.fleetMeanLatency());
     } else if (status != AttemptStatus.CANCELLED && status != AttemptStatus.NOT_SENT) {
       recordFailure(request, attempt, status == AttemptStatus.TIMEOUT);
     }
@@ -28,25 +28,25 @@
     endpoint.firstSuccessAt = endpoint.firstSuccessAt == 0 ? now : endpoint.firstSuccessAt;
     endpoint.responses.add(now, Metric.OBJECTIVE_SUM, request.load * objective / 1e9);
     endpoint.responses.addSample(now, request.load * latency);
-    outliers.addLatency(endpoint, (double) latency / objective, limiter.fleetMeanLatency());
-    limiter.addSample(request, (double) (now - request.arrivedAt) / objective);
+    outliers.addLatency(endpoint, (double) latency / objective, rateLimiter.fleetMeanLatency());
+    rateLimiter.addSample(request, (double) (now - request.arrivedAt) / objective);
   }
 
-  private void recordFailure(InFlightRequest request, Attempt attempt, boolean isTimeout) {
+  private void recordFailure(InFlightRequest request, Attempt attempt, boolean timedOut) {
     long objective = request.type.latencyObjectiveNanos();
     double deadline = (double) request.type.deadlineNanos() / objective;
     double latency = (double) (context.now - request.arrivedAt) / objective;
     // A time-out before the objective is due to the client's short deadline, not to the endpoint.
-    boolean isEarlyTimeout = isTimeout && context.now - attempt.startedAt < objective;
+    boolean earlyTimeout = timedOut && context.now - attempt.startedAt < objective;
     // A time-out counts as the class's deadline. Other failures count as at least the mean latency,
     // or quick ones would lower it; if they counted as the deadline, a few resets would cause the
     // rejection of requests that other endpoints could serve.
-    boolean countsAsDeadline = isTimeout && !isEarlyTimeout;
-    limiter.addSample(
+    boolean countsAsDeadline = timedOut && !earlyTimeout;
+    rateLimiter.addSample(
         request,
-        countsAsDeadline ? deadline : Math.max(latency, limiter.worseMeanLatency(request)));
-    if (!isEarlyTimeout) {
-      outliers.addLatency(attempt.endpoint, deadline, limiter.fleetMeanLatency());
+        countsAsDeadline ? deadline : Math.max(latency, rateLimiter.worseMeanLatency(request)));
+    if (!earlyTimeout) {
+      outliers.addLatency(attempt.endpoint, deadline, rateLimiter.fleetMeanLatency());
       outliers.onFailure(attempt.endpoint);
     }
   }
@@ -55,9 +55,9 @@
   void recordLateAttempts(InFlightRequest request) {
     for (Attempt attempt : request.attempts) {
       long age = context.now - attempt.startedAt;
-      if (attempt.isInFlight && !attempt.isLate && age > request.type.latencyObjectiveNanos()) {
-        attempt.isLate = true;
-        outliers.addLatency(attempt.endpoint, MAX_LATENCY, limiter.fleetMeanLatency());
+      if (attempt.inFlight && !attempt.late && age > request.type.latencyObjectiveNanos()) {
+        attempt.late = true;
+        outliers.addLatency(attempt.endpoint, MAX_LATENCY, rateLimiter.fleetMeanLatency());
       }
     }
   }
--- a/src/main/java/loadbalancer/decision/OutlierDetector.java
+++ b/src/main/java/loadbalancer/decision/OutlierDetector.java
@@ -30,8 +30,8 @@
   private static final double MAX_SLOWNESS = 4; // of a sample: limits the effect of a time-out
 
   private final DecisionContext context;
-  private boolean isPanicking; // too many ready endpoints are ejected or silent
-  private boolean hasFewUnreliable; // few enough ready endpoints have a high failure rate
+  private boolean panicMode; // too many ready endpoints are ejected or silent
+  private boolean fewUnreliable; // few enough ready endpoints have a high failure rate
 
   OutlierDetector(DecisionContext context) {
     this.context = context;
@@ -39,7 +39,7 @@
 
   /** Returns whether an endpoint is neither ejected nor silent, or too many are. */
   boolean isAvailable(TrackedEndpoint endpoint) {
-    return isPanicking || (endpoint.ejectedUntil <= context.now && !isSilent(endpoint));
+    return panicMode || (endpoint.ejectedUntil <= context.now && !isSilent(endpoint));
   }
 
   /**
@@ -49,7 +49,7 @@
    */
   boolean isReliableFor(InFlightRequest request, TrackedEndpoint endpoint) {
     return request.type.idempotence() != Idempotence.NON_IDEMPOTENT
-        || !hasFewUnreliable
+        || !fewUnreliable
         || failureRate(endpoint) < MAX_FAILURE_RATE;
   }
 
@@ -99,8 +99,8 @@
       outliers += endpoint.ejectedUntil > context.now || isSilent(endpoint) ? 1 : 0;
       unreliable += failureRate(endpoint) >= MAX_FAILURE_RATE ? 1 : 0;
     }
-    isPanicking = outliers > PANIC_FRACTION * ready.length;
-    hasFewUnreliable = unreliable <= PANIC_FRACTION * ready.length;
+    panicMode = outliers > PANIC_FRACTION * ready.length;
+    fewUnreliable = unreliable <= PANIC_FRACTION * ready.length;
   }
 
   private double failureRate(TrackedEndpoint endpoint) {
--- a/src/main/java/loadbalancer/decision/RequestClassifier.java
+++ b/src/main/java/loadbalancer/decision/RequestClassifier.java
@@ -37,11 +37,10 @@
     }
     InFlightRequest request = new InFlightRequest(arrival, type, context.now);
     request.hasQuota = quotas.hasQuota(arrival.tenant());
-    boolean isOverQuota = request.hasQuota && quotas.recordAndCheckExceeded(arrival.tenant());
-    request.isOverQuota = isOverQuota;
-    request.priority =
-        type.priorityWeight() * (isOverQuota ? context.settings.overQuotaWeight() : 1);
-    String route = arrival.className() + ' ' + arrival.tenant() + (isOverQuota ? " over" : "");
+    boolean overQuota = request.hasQuota && quotas.exceedsQuota(arrival.tenant());
+    request.overQuota = overQuota;
+    request.priority = type.priorityWeight() * (overQuota ? context.settings.overQuotaWeight() : 1);
+    String route = arrival.className() + ' ' + arrival.tenant() + (overQuota ? " over" : "");
     request.keyWindow = windows.get(route + ' ' + arrival.affinityKey());
     request.routeWindow = windows.get(route);
     request.load = arrival.workHintNanos() > 0 ? loadByHint(arrival.workHintNanos()) : 1;
--- a/src/main/java/loadbalancer/decision/RequestLifecycle.java
+++ b/src/main/java/loadbalancer/decision/RequestLifecycle.java
@@ -34,28 +34,28 @@
   private final DecisionContext context;
   private final Limits limits;
   private final EndpointRegistry registry;
-  private final AdaptiveRateLimiter limiter;
+  private final AdaptiveRateLimiter rateLimiter;
   private final BoundedLoadBalancer balancer;
   private final HedgePolicy hedgePolicy;
   private final OutcomeRecorder recorder;
   private final RetryBudget retryBudget = new RetryBudget();
-  private boolean isSweepScheduled;
+  private boolean sweepScheduled;
 
   RequestLifecycle(DecisionContext context, EndpointRegistry registry) {
     this.context = context;
     this.registry = registry;
     limits = context.settings.limits();
     classifier = new RequestClassifier(context);
-    limiter = new AdaptiveRateLimiter(context, registry);
-    balancer = new BoundedLoadBalancer(context, registry, limiter);
-    hedgePolicy = new HedgePolicy(context, limiter, registry.outliers);
-    recorder = new OutcomeRecorder(context, limiter, registry.outliers);
+    rateLimiter = new AdaptiveRateLimiter(context, registry);
+    balancer = new BoundedLoadBalancer(context, registry, rateLimiter);
+    hedgePolicy = new HedgePolicy(context, rateLimiter, registry.outliers);
+    recorder = new OutcomeRecorder(context, rateLimiter, registry.outliers);
   }
 
   void onArrival(Event.RequestArrived arrival) {
     InFlightRequest request = classifier.classify(arrival);
     if (inFlight.size() >= limits.maxInFlightRequests()
-        || !limiter.tryAdmit(request, queue.size())) {
+        || !rateLimiter.tryAdmit(request, queue.size())) {
       context.actions.accept(rejection(request));
       return;
     }
@@ -67,13 +67,13 @@
   void onResponseStarted(String requestId) {
     InFlightRequest request = inFlight.get(requestId);
     if (request != null) {
-      request.isStreaming = true;
+      request.streaming = true;
     }
   }
 
   void onClientDisconnected(String requestId) {
     InFlightRequest request = inFlight.get(requestId);
-    if (request != null && !request.isAnswered) {
+    if (request != null && !request.answered) {
       release(request);
     }
   }
@@ -84,17 +84,17 @@
       return;
     }
     Attempt attempt = request.attempts.get(end.attempt());
-    attempt.isInFlight = false;
+    attempt.inFlight = false;
     attempt.mayHaveRun = !end.status().provesNotRun();
     attempt.mayHaveBeenSent = end.status() != AttemptStatus.NOT_SENT;
     request.attemptsInFlight--;
     registry.onAttemptEnded(attempt.endpoint, request.load);
     recorder.record(request, attempt, end);
-    if (request.isAnswered && request.attemptsInFlight == 0) {
+    if (request.answered && request.attemptsInFlight == 0) {
       inFlight.remove(request.id());
-    } else if (!request.isAnswered && end.isRequestAnswered()) {
+    } else if (!request.answered && end.isRequestAnswered()) {
       release(request);
-    } else if (!request.isAnswered && request.attemptsInFlight == 0) {
+    } else if (!request.answered && request.attemptsInFlight == 0) {
       advance(request);
     }
     advanceQueue();
@@ -111,23 +111,23 @@
 
   /** Sets the timer of the next sweep if requests are in flight and it is not set yet. */
   void scheduleSweep() {
-    if (!isSweepScheduled && !inFlight.isEmpty()) {
-      isSweepScheduled = true;
+    if (!sweepScheduled && !inFlight.isEmpty()) {
+      sweepScheduled = true;
       context.actions.accept(new Action.SetTimer("sweep", context.now + context.sweepNanos));
     }
   }
 
   /** Hedges requests at silent endpoints, and attempts, answers or keeps each queued request. */
   void onSweep() {
-    isSweepScheduled = false;
+    sweepScheduled = false;
     registry.outliers.onSweep(registry.ready);
     registry.slowStart.onSweep(registry.ready);
-    limiter.onSweep();
+    rateLimiter.onSweep();
     for (InFlightRequest request : inFlight.values()) {
       recorder.recordLateAttempts(request);
-      boolean hasSingleAttempt =
-          request.attemptsInFlight == 1 && !request.isAnswered && !request.isStreaming;
-      if (hasSingleAttempt && hedgePolicy.shouldHedge(request) && !isOutOfAttempts(request)) {
+      boolean singleAttempt =
+          request.attemptsInFlight == 1 && !request.answered && !request.streaming;
+      if (singleAttempt && hedgePolicy.shouldHedge(request) && !isOutOfAttempts(request)) {
         startAttempt(request);
       }
     }
@@ -136,10 +136,10 @@
 
   // Attempts, answers or queues a request without an attempt in flight; returns false if queued.
   private boolean advance(InFlightRequest request) {
-    boolean isOutOfAttempts = isOutOfAttempts(request);
-    if (!isOutOfAttempts && startAttempt(request)) {
+    boolean outOfAttempts = isOutOfAttempts(request);
+    if (!outOfAttempts && startAttempt(request)) {
       queue.remove(request);
-    } else if (isOutOfAttempts || shouldStopWaiting(request)) {
+    } else if (outOfAttempts || shouldStopWaiting(request)) {
       boolean canReject = IdempotencePolicy.canReject(request);
       context.actions.accept(canReject ? rejection(request) : new Action.FailRequest(request.id()));
       release(request);
@@ -196,7 +196,7 @@
   // Ends a request that needs no further answer: cancels its attempts, or removes it if none is in
   // flight.
   private void release(InFlightRequest request) {
-    request.isAnswered = true;
+    request.answered = true;
     queue.remove(request);
     if (request.attemptsInFlight == 0) {
       inFlight.remove(request.id());
--- a/src/main/java/loadbalancer/decision/SlowStart.java
+++ b/src/main/java/loadbalancer/decision/SlowStart.java
@@ -41,12 +41,12 @@
    * the rate that the quotas imply, because the observed rate is too low.
    */
   void onSweep(TrackedEndpoint[] ready) {
-    int warming = 0;
+    int warmingCount = 0;
     for (TrackedEndpoint endpoint : ready) {
-      warming += capacityFraction(endpoint) < 1 ? 1 : 0;
+      warmingCount += capacityFraction(endpoint) < 1 ? 1 : 0;
     }
-    boolean isBaselineObservable = warming <= MAX_WARMING_FRACTION * ready.length;
-    minBaselineRate = isBaselineObservable ? 0 : quotaRate / ready.length;
+    boolean baselineObservable = warmingCount <= MAX_WARMING_FRACTION * ready.length;
+    minBaselineRate = baselineObservable ? 0 : quotaRate / ready.length;
   }
 
   /**
@@ -56,8 +56,8 @@
   double capacityFraction(TrackedEndpoint endpoint) {
     long age = Math.max(0, context.now - endpoint.startedAt);
     double progress = age / (double) Math.max(1, contract.slowStartNanos());
-    boolean isWarm = endpoint.startedAt <= 0 || progress >= 1;
-    return isWarm ? 1 : contract.initialCapacity() * (1 - progress) + progress;
+    boolean warm = endpoint.startedAt <= 0 || progress >= 1;
+    return warm ? 1 : contract.initialCapacity() * (1 - progress) + progress;
   }
 
   /** Returns whether an endpoint may get an attempt; a warming one needs a token of its budget. */
--- a/src/main/java/loadbalancer/decision/TenantQuotas.java
+++ b/src/main/java/loadbalancer/decision/TenantQuotas.java
@@ -14,7 +14,8 @@
 
   private final DecisionContext context;
   private final KeyedWindows windows;
-  private final Map<String, Double> rates = new HashMap<>(); // even shares, in requests a second
+  private final Map<String, Double> quotaRates =
+      new HashMap<>(); // even shares, in requests a second
   private final Map<String, TokenBucket> buckets = new HashMap<>();
 
   TenantQuotas(DecisionContext context, KeyedWindows windows) {
@@ -22,33 +23,33 @@
     this.windows = windows;
     for (Tenant tenant : context.settings.tenants()) {
       if (tenant.quotaPerSecond() > 0) {
-        rates.put(tenant.name(), tenant.quotaPerSecond() / context.settings.instanceCount());
+        quotaRates.put(tenant.name(), tenant.quotaPerSecond() / context.settings.instanceCount());
       }
     }
   }
 
   boolean hasQuota(String tenant) {
-    return rates.containsKey(tenant);
+    return quotaRates.containsKey(tenant);
   }
 
   /** Counts a request of a tenant that has a quota and returns whether it exceeds the quota. */
-  boolean recordAndCheckExceeded(String tenant) {
+  boolean exceedsQuota(String tenant) {
     windows.get(tenant).add(context.now, Metric.OFFERED, 1);
     TokenBucket bucket = buckets.computeIfAbsent(tenant, k -> new TokenBucket());
-    double rate = rates.get(tenant) * trafficMultiple(tenant);
-    boolean isOverQuota =
+    double rate = quotaRates.get(tenant) * trafficMultiple(tenant);
+    boolean overQuota =
         bucket.refill(context.now, rate, Math.max(MIN_BURST, rate * BURST_SECONDS)) < 1;
-    bucket.tokens -= isOverQuota ? 0 : 1;
-    return isOverQuota;
+    bucket.tokens -= overQuota ? 0 : 1;
+    return overQuota;
   }
 
   // Returns the traffic of this instance as a multiple of its even share: the median over the other
   // tenants, from low estimates of their rates, and at least 1. It exceeds 1 if clients prefer this
   // instance or other instances are down.
   private double trafficMultiple(String tenant) {
-    double[] multiples = new double[rates.size()];
+    double[] multiples = new double[quotaRates.size()];
     int otherCount = 0;
-    for (Map.Entry<String, Double> rate : rates.entrySet()) {
+    for (Map.Entry<String, Double> rate : quotaRates.entrySet()) {
       if (!rate.getKey().equals(tenant)) {
         double offeredRate = windows.get(rate.getKey()).rateLowerBound(context.now, Metric.OFFERED);
         multiples[otherCount++] = offeredRate / rate.getValue();
--- a/src/main/java/loadbalancer/decision/api/Settings.java
+++ b/src/main/java/loadbalancer/decision/api/Settings.java
@@ -81,8 +81,8 @@
         "overload multiple must be above 0, overload window not negative");
   }
 
-  private static void check(boolean isValid, String problem) {
-    if (!isValid) {
+  private static void check(boolean valid, String problem) {
+    if (!valid) {
       throw new IllegalArgumentException("settings: " + problem);
     }
   }
--- a/src/test/java/loadbalancer/decision/BoundedLoadBalancerTest.java
+++ b/src/test/java/loadbalancer/decision/BoundedLoadBalancerTest.java
@@ -139,12 +139,12 @@
         long to = attemptedEndpoint(driver.request(id, "c", "k" + i));
         remote[half] += to >= 104 ? 1 : 0;
         while (to >= 0) {
-          boolean isFull = half == 1 && to < 104;
+          boolean full = half == 1 && to < 104;
           driver.advance(20 * MS);
           to =
               attemptedEndpoint(
                   driver.endAttempt(
-                      id, to, isFull ? AttemptStatus.REJECTED : AttemptStatus.SUCCESS, 20 * MS));
+                      id, to, full ? AttemptStatus.REJECTED : AttemptStatus.SUCCESS, 20 * MS));
         }
       }
     }
--- a/src/test/java/loadbalancer/decision/EngineDriver.java
+++ b/src/test/java/loadbalancer/decision/EngineDriver.java
@@ -62,7 +62,7 @@
         name, idempotence, scope, 2000 * MS, 400 * MS, 0, 2000 * MS, 1, 0, false);
   }
 
-  static Settings settings(boolean isPolled, List<Tenant> tenants, RequestClass... classes) {
+  static Settings settings(boolean polledDiscovery, List<Tenant> tenants, RequestClass... classes) {
     return new Settings(
         0,
         1,
@@ -71,9 +71,9 @@
         tenants,
         new Limits(true, false, false, true, true, 1000 * MS, 4, 10_000, 1, 200 * MS),
         new ServiceContract(
-            8 * MS, isPolled ? 10_000 * MS : 0, 250 * MS, 0.3, 8000 * MS, 3, 3000 * MS),
+            8 * MS, polledDiscovery ? 10_000 * MS : 0, 250 * MS, 0.3, 8000 * MS, 3, 3000 * MS),
         new Prices(0, 0, 0),
-        isPolled,
+        polledDiscovery,
         WeightKind.NONE,
         0.2,
         true,
@@ -183,13 +183,14 @@
     List<Action> actions = new ArrayList<>();
     long end = now + nanos;
     while (true) {
-      SetTimer due = timers.stream().min(Comparator.comparingLong(SetTimer::atNanos)).orElse(null);
-      if (due == null || due.atNanos() > end) {
+      SetTimer nextTimer =
+          timers.stream().min(Comparator.comparingLong(SetTimer::atNanos)).orElse(null);
+      if (nextTimer == null || nextTimer.atNanos() > end) {
         break;
       }
-      timers.remove(due);
-      now = Math.max(now, due.atNanos());
-      actions.addAll(handle(new TimerFired(due.token())));
+      timers.remove(nextTimer);
+      now = Math.max(now, nextTimer.atNanos());
+      actions.addAll(handle(new TimerFired(nextTimer.token())));
     }
     now = end;
     return actions;
--- a/src/test/java/loadbalancer/decision/OutlierDetectorTest.java
+++ b/src/test/java/loadbalancer/decision/OutlierDetectorTest.java
@@ -49,16 +49,16 @@
     int attemptsAtUnreliable = 0;
     int failedNonIdempotent = 0;
     for (int i = 0; i < 900; i++) {
-      boolean isNonIdempotent = i % 3 == 0;
+      boolean nonIdempotent = i % 3 == 0;
       String id = driver.nextRequestId();
-      long to = attemptedEndpoint(driver.request(id, isNonIdempotent ? "u" : "c", "k" + i));
+      long to = attemptedEndpoint(driver.request(id, nonIdempotent ? "u" : "c", "k" + i));
       driver.advance(5 * MS);
-      boolean isFailing = to == 103 && attemptsAtUnreliable++ % 2 == 0;
-      failedNonIdempotent += isFailing && isNonIdempotent && i > 100 ? 1 : 0;
+      boolean failing = to == 103 && attemptsAtUnreliable++ % 2 == 0;
+      failedNonIdempotent += failing && nonIdempotent && i > 100 ? 1 : 0;
       long retryEndpoint =
           attemptedEndpoint(
               driver.endAttempt(
-                  id, to, isFailing ? AttemptStatus.ERROR : AttemptStatus.SUCCESS, 5 * MS));
+                  id, to, failing ? AttemptStatus.ERROR : AttemptStatus.SUCCESS, 5 * MS));
       if (retryEndpoint >= 0) {
         driver.endAttempt(id, retryEndpoint, AttemptStatus.SUCCESS, 5 * MS);
       }
--- a/src/test/java/loadbalancer/decision/ServiceContractTest.java
+++ b/src/test/java/loadbalancer/decision/ServiceContractTest.java
@@ -53,7 +53,7 @@
     final long deadline;
     final List<ObservedAttempt> attempts = new ArrayList<>();
     final List<AttemptStatus> statuses = new ArrayList<>();
-    boolean isAnswered;
+    boolean answered;
 
     ObservedRequest(RequestClass type, long deadline) {
       this.type = type;
@@ -128,7 +128,7 @@
   }
 
   private void assertNoStateRemains() {
-    requests.forEach((name, e) -> assertTrue(e.isAnswered, "no final answer for " + name));
+    requests.forEach((name, e) -> assertTrue(e.answered, "no final answer for " + name));
     long timersBefore = timers.size();
     now += 60_000 * MS;
     fireTimers();
@@ -218,18 +218,18 @@
     for (Map.Entry<String, ObservedRequest> known : List.copyOf(requests.entrySet())) {
       ObservedRequest entry = known.getValue();
       for (int i = 0; i < entry.attempts.size(); i++) {
-        boolean isLate = now >= entry.deadline;
-        if (entry.statuses.get(i) == null && (isLate || random.nextInt(100) < percent / 4)) {
+        boolean late = now >= entry.deadline;
+        if (entry.statuses.get(i) == null && (late || random.nextInt(100) < percent / 4)) {
           AttemptStatus status =
-              entry.isAnswered && random.nextBoolean()
+              entry.answered && random.nextBoolean()
                   ? AttemptStatus.CANCELLED
-                  : isLate
+                  : late
                       ? AttemptStatus.TIMEOUT
                       : random.nextInt(2) == 0
                           ? AttemptStatus.SUCCESS
                           : AttemptStatus.values()[random.nextInt(AttemptStatus.values().length)];
           entry.statuses.set(i, status);
-          entry.isAnswered |= status == AttemptStatus.SUCCESS;
+          entry.answered |= status == AttemptStatus.SUCCESS;
           handle(
               new AttemptEnded(
                   known.getKey(),
@@ -237,19 +237,19 @@
                   entry.attempts.get(i).endpointId(),
                   status,
                   now - entry.attempts.get(i).at(),
-                  entry.isAnswered,
+                  entry.answered,
                   Map.of()));
         }
       }
-      if (!entry.isAnswered && random.nextInt(2000) == 0) {
-        entry.isAnswered = true;
+      if (!entry.answered && random.nextInt(2000) == 0) {
+        entry.answered = true;
         handle(new ClientDisconnected(known.getKey()));
       }
       assertTrue(
-          entry.isAnswered || now <= entry.deadline + settings.contract().responseSlackNanos(),
+          entry.answered || now <= entry.deadline + settings.contract().responseSlackNanos(),
           "late final answer for " + known.getKey());
     }
-    requests.values().removeIf(entry -> entry.isAnswered && entry.inFlight() == 0);
+    requests.values().removeIf(entry -> entry.answered && entry.inFlight() == 0);
   }
 
   private void handle(Event event) {
@@ -262,7 +262,7 @@
         checkAttempt(requests.get(start.requestId()), start);
       } else if (action instanceof RejectRequest rejection) {
         ObservedRequest entry = requests.get(rejection.requestId());
-        assertTrue(!entry.isAnswered, "one final answer");
+        assertTrue(!entry.answered, "one final answer");
         boolean mayHaveRun = entry.statuses.stream().anyMatch(x -> x == null || !x.provesNotRun());
         assertTrue(
             !mayHaveRun
@@ -270,10 +270,10 @@
                 || (entry.type.idempotence() == Idempotence.IDEMPOTENCY_KEY
                     && entry.type.dedupScope() == DedupScope.ALL),
             "rejection although it may have run");
-        entry.isAnswered = true;
+        entry.answered = true;
       } else if (action instanceof FailRequest failure) {
-        assertTrue(!requests.get(failure.requestId()).isAnswered, "one final answer");
-        requests.get(failure.requestId()).isAnswered = true;
+        assertTrue(!requests.get(failure.requestId()).answered, "one final answer");
+        requests.get(failure.requestId()).answered = true;
       } else if (action instanceof CancelAttempt) {
         assertTrue(settings.limits().cancellation());
       }
@@ -282,7 +282,7 @@
 
   private void checkAttempt(ObservedRequest entry, StartAttempt start) {
     Endpoint to = fleet.get(start.endpointId());
-    assertTrue(!entry.isAnswered, "attempt after the final answer");
+    assertTrue(!entry.answered, "attempt after the final answer");
     assertEquals(EndpointState.READY, to.state(), "attempt at a draining or gone endpoint");
     assertTrue(entry.attempts.size() < settings.limits().maxAttempts(), "too many attempts");
     assertTrue(
--- a/src/test/java/loadbalancer/decision/SlowStartFleetTest.java
+++ b/src/test/java/loadbalancer/decision/SlowStartFleetTest.java
@@ -61,12 +61,12 @@
    * Least attempts at a warming endpoint as a fraction of those at a warm one. Its mean capacity
    * during slow start is the fraction 0.57.
    */
-  private static final double MIN_USED_FRACTION = 0.05;
+  private static final double MIN_ATTEMPT_FRACTION = 0.05;
 
   private static final long LATENCY = 60 * MS;
   private static final long START = 1_000 * SECOND;
 
-  private static Settings settings(int instanceIndex, int instances, double quota) {
+  private static Settings settings(int instanceIndex, int instanceCount, double quota) {
     RequestClass type =
         new RequestClass(
             "c",
@@ -81,7 +81,7 @@
             false);
     return new Settings(
         instanceIndex,
-        instances,
+        instanceCount,
         "a",
         List.of(type),
         List.of(new Tenant("t", 1, quota * ENDPOINTS)),
@@ -104,7 +104,7 @@
 
     private record ScheduledTask(long at, long order, LongConsumer task) {}
 
-    final int instances;
+    final int instanceCount;
 
     /** The total of the quotas for one endpoint, in requests a second. */
     final double quota;
@@ -123,26 +123,26 @@
     int requestCount;
     double offeredFraction;
 
-    Fleet(int instances, double quota, double offeredFraction, long seed) {
-      this.instances = instances;
+    Fleet(int instanceCount, double quota, double offeredFraction, long seed) {
+      this.instanceCount = instanceCount;
       this.quota = quota;
       this.offeredFraction = offeredFraction;
       random = new SplittableRandom(seed);
-      engines = new LoadBalancingEngine[instances];
-      incarnations = new int[instances];
-      shares = new double[instances];
+      engines = new LoadBalancingEngine[instanceCount];
+      incarnations = new int[instanceCount];
+      shares = new double[instanceCount];
       double sum = 0;
-      for (int b = 0; b < instances; b++) {
+      for (int b = 0; b < instanceCount; b++) {
         shares[b] = -Math.log(1 - random.nextDouble()) + 0.1;
         sum += shares[b];
       }
-      for (int b = 0; b < instances; b++) {
+      for (int b = 0; b < instanceCount; b++) {
         shares[b] /= sum;
       }
       for (int e = 0; e < ENDPOINTS; e++) {
         endpointList.add(new Endpoint(100 + e, "a", 0, EndpointState.READY, 0, 1));
       }
-      for (int b = 0; b < instances; b++) {
+      for (int b = 0; b < instanceCount; b++) {
         restartInstance(b);
       }
       schedule(now, this::sendRequest);
@@ -156,7 +156,7 @@
     void restartInstance(int instance) {
       incarnations[instance]++;
       engines[instance] =
-          new LoadBalancingEngine(settings(instance, instances, quota), random.nextLong());
+          new LoadBalancingEngine(settings(instance, instanceCount, quota), random.nextLong());
       handle(instance, new EndpointListUpdate(UpdateKind.CACHED, List.copyOf(endpointList)));
     }
 
@@ -199,7 +199,7 @@
     void sendRequest(long when) {
       double point = random.nextDouble();
       int instance = 0;
-      while (instance < instances - 1 && point > shares[instance]) {
+      while (instance < instanceCount - 1 && point > shares[instance]) {
         point -= shares[instance++];
       }
       // A few keys get much of the traffic.
@@ -227,11 +227,11 @@
     }
 
     /** Restarts the first endpoints of the list and notifies all instances. */
-    void restartEndpoints(int warming) {
-      for (int e = 0; e < warming; e++) {
+    void restartEndpoints(int warmingCount) {
+      for (int e = 0; e < warmingCount; e++) {
         endpointList.set(e, new Endpoint(100 + e, "a", 0, EndpointState.READY, now, 1));
       }
-      for (int b = 0; b < instances; b++) {
+      for (int b = 0; b < instanceCount; b++) {
         handle(b, new EndpointListUpdate(UpdateKind.FULL, List.copyOf(endpointList)));
       }
     }
@@ -264,8 +264,9 @@
     }
   }
 
-  private static Fleet afterWarmUp(int instances, double quota, double offeredFraction, long seed) {
-    Fleet fleet = new Fleet(instances, quota, offeredFraction, seed);
+  private static Fleet afterWarmUp(
+      int instanceCount, double quota, double offeredFraction, long seed) {
+    Fleet fleet = new Fleet(instanceCount, quota, offeredFraction, seed);
     fleet.runFor(15 * SECOND);
     return fleet;
   }
@@ -274,11 +275,17 @@
    * Asserts that the attempts at each warming endpoint stay within its budget, and that the warming
    * endpoints get some.
    */
-  private static void assertWithin(Fleet fleet, int warming, long startedAt, String description) {
+  private static void assertWithin(
+      Fleet fleet, int warmingCount, long startedAt, String description) {
     String message =
-        description + ", " + fleet.instances + " instances, " + fleet.quota + " a second for each";
+        description
+            + ", "
+            + fleet.instanceCount
+            + " instances, "
+            + fleet.quota
+            + " a second for each";
     long attempts = 0;
-    for (int e = 0; e < warming; e++) {
+    for (int e = 0; e < warmingCount; e++) {
       double over = fleet.excess(e, startedAt);
       assertTrue(over <= 0, message + ": attempts beyond the budget: " + over);
       attempts +=
@@ -286,11 +293,12 @@
               .filter(t -> t >= startedAt)
               .count();
     }
-    double used =
-        attempts / (warming * fleet.quota * OFFERED_FRACTION * (fleet.now - startedAt) / SECOND);
+    double attemptFraction =
+        attempts
+            / (warmingCount * fleet.quota * OFFERED_FRACTION * (fleet.now - startedAt) / SECOND);
     assertTrue(
-        used >= MIN_USED_FRACTION,
-        message + ": attempts at them " + used + " of those at warm ones");
+        attemptFraction >= MIN_ATTEMPT_FRACTION,
+        message + ": attempts at them " + attemptFraction + " of those at warm ones");
   }
 
   @ParameterizedTest
@@ -298,14 +306,14 @@
     "1,1", "1,13", "1,40", "4,1", "4,13", "4,40", "30,1", "30,13", "30,40", "120,1", "120,13",
     "120,40"
   })
-  void attemptsOfAllInstancesStayWithinTheBudgets(int instances, int warming) {
+  void attemptsOfAllInstancesStayWithinTheBudgets(int instanceCount, int warmingCount) {
     for (double quota : new double[] {1.5, 4, 12}) {
       for (double offeredFraction : new double[] {OFFERED_FRACTION, SURGE_FRACTION}) {
-        Fleet fleet = afterWarmUp(instances, quota, offeredFraction, 1);
+        Fleet fleet = afterWarmUp(instanceCount, quota, offeredFraction, 1);
         long at = fleet.now;
-        fleet.restartEndpoints(warming);
+        fleet.restartEndpoints(warmingCount);
         fleet.runFor(SLOW_START);
-        assertWithin(fleet, warming, at, warming + " warming, asked " + offeredFraction);
+        assertWithin(fleet, warmingCount, at, warmingCount + " warming, asked " + offeredFraction);
       }
     }
   }
@@ -316,8 +324,8 @@
    */
   @ParameterizedTest
   @ValueSource(ints = {1, 4, 30, 120})
-  void aSurgeAfterLightTrafficStaysWithinTheBudgets(int instances) {
-    Fleet fleet = afterWarmUp(instances, 12, OFFERED_FRACTION, 2);
+  void aSurgeAfterLightTrafficStaysWithinTheBudgets(int instanceCount) {
+    Fleet fleet = afterWarmUp(instanceCount, 12, OFFERED_FRACTION, 2);
     fleet.offeredFraction = OFFERED_FRACTION / 10;
     long at = fleet.now;
     fleet.restartEndpoints(4);
@@ -333,18 +341,18 @@
    */
   @ParameterizedTest
   @CsvSource({"1,4", "4,4", "30,4", "120,4", "1,40", "4,40", "30,40", "120,40"})
-  void restartsOfInstancesStayWithinTheBudgets(int instances, int warming) {
-    Fleet fleet = afterWarmUp(instances, 12, OFFERED_FRACTION, 3);
+  void restartsOfInstancesStayWithinTheBudgets(int instanceCount, int warmingCount) {
+    Fleet fleet = afterWarmUp(instanceCount, 12, OFFERED_FRACTION, 3);
     long at = fleet.now;
-    fleet.restartEndpoints(warming);
+    fleet.restartEndpoints(warmingCount);
     for (int round = 0; round < 60; round++) {
-      for (int b = 0; b < instances; b++) {
+      for (int b = 0; b < instanceCount; b++) {
         if (round == 30 || (b + round) % 10 == 0) {
           fleet.restartInstance(b);
         }
       }
       fleet.runFor(SLOW_START / 60);
     }
-    assertWithin(fleet, warming, at, "restarts");
+    assertWithin(fleet, warmingCount, at, "restarts");
   }
 }
--- a/src/test/java/loadbalancer/decision/SlowStartTest.java
+++ b/src/test/java/loadbalancer/decision/SlowStartTest.java
@@ -67,8 +67,8 @@
           driver.updateEndpoints(
               UpdateKind.DELTA, new Endpoint(500, "a", 0, EndpointState.READY, driver.now, 1));
         }
-        boolean isAtWarmingEndpoint = driver.serve("k" + instance + i, MS) == 500;
-        attempts[Math.max(0, i / 5 - 80)] += isAtWarmingEndpoint ? 1 : 0;
+        boolean atWarmingEndpoint = driver.serve("k" + instance + i, MS) == 500;
+        attempts[Math.max(0, i / 5 - 80)] += atWarmingEndpoint ? 1 : 0;
         driver.advance(99 * MS);
       }
     }
