--- a/src/main/java/loadbalancer/decision/AdaptiveRateLimiter.java
+++ b/src/main/java/loadbalancer/decision/AdaptiveRateLimiter.java
@@ -4,26 +4,33 @@
 
 /**
  * Limits the rate at which requests are admitted, for each route (class, tenant, and whether over
- * quota). The allowed rate falls linearly with the mean latency of the window, by the published
- * formula. Latencies are in multiples of the latency objective. Owns the window of the fleet.
+ * quota). The allowed rate falls linearly as the mean latency of the window rises, see {@link
+ * #allowedRate}. Latencies are in multiples of the latency objective. Owns the window of the fleet.
  */
 final class AdaptiveRateLimiter {
 
-  static final double HEALTHY_LATENCY = 0.5; // mean latency up to which all are admitted
-  private static final double CRITICAL_LATENCY = 1.0; // mean latency from which few are admitted
-  private static final double MAX_RATE_FACTOR = 1.1; // maximum rate over the offered rate
-  private static final double MIN_RATE_FRACTION = 0.02; // minimum rate over the maximum rate
+  // The rate is at its maximum up to the healthy mean latency and at its minimum from the critical.
+  static final double HEALTHY_LATENCY = 0.5;
+  private static final double CRITICAL_LATENCY = 1.0;
+  private static final double MAX_RATE_FACTOR = 1.1; // multiple of the offered rate
+  private static final double MIN_RATE_FRACTION = 0.02; // fraction of the maximum rate
+
   // Longest time between admissions. With long objectives, the allowed rate alone may admit nothing
   // for longer, and an instance that rejects everything would not notice that endpoints recovered.
   private static final long MAX_ADMISSION_GAP_NANOS = 2 * DecisionContext.SECOND_NANOS;
-  private static final double OVER_QUOTA_LATENCY_FACTOR = 0.3; // of both latencies, at weight 0
-  private static final double BASELINE_WINDOWS = 2; // covered by the mean: surges are faster
+
+  // Factor of both latencies for requests over quota if these weigh 0; at weight 1, it is 1.
+  private static final double OVER_QUOTA_LATENCY_FACTOR = 0.3;
+
+  // Number of windows that the baseline load averages. A surge develops within fewer, so it exceeds
+  // the baseline instead of raising it.
+  private static final double BASELINE_WINDOWS = 2;
 
   private final DecisionContext context;
   private final EndpointRegistry registry;
   private final SlidingWindow fleet;
   private double baselineLoad; // mean load of a ready endpoint while the fleet is healthy
-  private double baselineNanos; // time that the mean covers so far
+  private double baselineNanos; // time that this mean covers so far
   private long lastAdmittedAt;
 
   AdaptiveRateLimiter(DecisionContext context, EndpointRegistry registry) {
@@ -52,7 +59,7 @@
     request.keyWindow.add(context.now, Metric.OFFERED, 1);
     route.add(context.now, Metric.OFFERED, 1);
     fleet.add(context.now, Metric.OFFERED, 1);
-    // Requests of less weight are rejected sooner, so a tenant over its quota is throttled first.
+    // Requests over quota are rejected at lower latencies, so their tenant is throttled first.
     double weight = context.settings.overQuotaWeight();
     double latencyFactor =
         request.overQuota
@@ -87,8 +94,8 @@
   }
 
   /**
-   * Returns the mean latency of a request's route, or that of the fleet if it is higher: a slow
-   * fleet is not caused by one route.
+   * Returns the mean latency of a request's route, or that of the fleet if it is higher: every
+   * route adds load to a slow fleet.
    */
   double worseMeanLatency(InFlightRequest request) {
     return Math.max(request.routeWindow.mean(context.now), fleetMeanLatency());
@@ -106,7 +113,7 @@
 
   void onSweep() {
     if (fleetMeanLatency() <= HEALTHY_LATENCY) {
-      // A plain mean at first: a moving one that began at 0 would be too low for seconds.
+      // Starts as a plain mean: a moving average that starts at 0 would be too low for seconds.
       double maxNanos = BASELINE_WINDOWS * context.windowNanos;
       baselineNanos = Math.min(baselineNanos + context.sweepNanos, maxNanos);
       double load = registry.readyLoad / Math.max(1, registry.ready.length);
--- a/src/main/java/loadbalancer/decision/Attempt.java
+++ b/src/main/java/loadbalancer/decision/Attempt.java
@@ -6,9 +6,9 @@
   final TrackedEndpoint endpoint;
   final long startedAt;
   boolean inFlight = true;
-  boolean mayHaveRun = true; // or may still run
-  boolean mayHaveBeenSent = true; // or may still be sent
-  boolean late; // was past the latency objective at a sweep
+  boolean mayHaveRun = true; // false once it is certain that it never ran
+  boolean mayHaveBeenSent = true; // false once it is certain that it was not sent
+  boolean late; // a sweep found it in flight past the latency objective
 
   Attempt(TrackedEndpoint endpoint, long startedAt) {
     this.endpoint = endpoint;
--- a/src/main/java/loadbalancer/decision/BoundedLoadBalancer.java
+++ b/src/main/java/loadbalancer/decision/BoundedLoadBalancer.java
@@ -11,25 +11,28 @@
 
   private static final double BOUND_SLACK = 0.5; // fraction by which a bound exceeds the mean load
 
-  // A key that has the share s of all requests tries KEY_SPREAD * (1 + s * ready endpoints)
-  // endpoints
-  // of the zone.
+  // A key with the share s of all requests tries KEY_SPREAD * (1 + s * n) endpoints of the zone,
+  // where n is the number of ready endpoints.
   private static final int KEY_SPREAD = 2;
+
   private static final double SLOWNESS_POWER = 3; // an endpoint keeps 1 / slowness^3 of its keys
 
-  // If even the fastest eligible endpoint of the zone is slower, the zone is overloaded.
+  // A request leaves the zone if even the fastest eligible endpoint there is slower than this,
+  // because the zone is overloaded then.
   private static final double MAX_ZONE_SLOWNESS = 3;
 
-  // With a bound of 1, one of many instances, which has less than one request in flight at each
-  // endpoint, would queue half of its requests.
+  // An instance of a large group has less than one request in flight at each endpoint. With a bound
+  // of 1, it would queue half of its requests.
   private static final double MIN_BOUND = 2;
   private static final double MIN_WARMING_BOUND = 1;
 
-  // Mean latency, in latency objectives, that defines the capacity. With a lower one, an endpoint
-  // without a queue would count as full.
+  // Mean latency, in latency objectives, of an endpoint at its capacity. With a lower one, an
+  // endpoint without a queue would count as full.
   private static final double CAPACITY_LATENCY = AdaptiveRateLimiter.HEALTHY_LATENCY;
-  private static final int MIN_CAPACITY = 2; // with less, an idle endpoint could not show it
-  private static final int MIN_CAPACITY_SAMPLES = 10; // responses needed to know a capacity
+
+  // With less, an idle endpoint would get too few requests to show that its capacity is higher.
+  private static final int MIN_CAPACITY = 2;
+  private static final int MIN_CAPACITY_SAMPLES = 10; // responses needed to estimate a capacity
 
   private final DecisionContext context;
   private final EndpointRegistry registry;
@@ -108,7 +111,7 @@
   }
 
   // Returns the load below which an endpoint may get a request. It is scaled down for a warming
-  // endpoint, which the load of a warm one would keep busy for seconds, as its capacity is unknown.
+  // endpoint: the load of a warm one would keep it busy for seconds before its capacity is known.
   private double bound(TrackedEndpoint endpoint) {
     double fraction = registry.slowStart.capacityFraction(endpoint);
     double minBound = fraction < 1 ? MIN_WARMING_BOUND : MIN_BOUND;
@@ -118,8 +121,8 @@
   }
 
   // Estimates an endpoint's capacity by Little's law: responses a second times the wanted latency.
-  // This limits bursts, which would queue before the limiter's mean latencies show them. Without
-  // enough responses it is unbounded, or an endpoint would get nothing after a restart.
+  // This limits bursts, which would queue before the rate limiter sees higher latencies. Without
+  // enough responses the capacity is unbounded, or a restarted endpoint would get no requests.
   private double capacity(TrackedEndpoint endpoint) {
     SlidingWindow responses = endpoint.responses;
     long age = context.now - endpoint.firstSuccessAt;
--- a/src/main/java/loadbalancer/decision/DecayingRate.java
+++ b/src/main/java/loadbalancer/decision/DecayingRate.java
@@ -3,7 +3,7 @@
 /** An exponentially decaying mean rate, corrected for the short time that it covers at first. */
 final class DecayingRate {
 
-  private static final double DECAY_NANOS = 30e9; // longer than most outages
+  private static final double DECAY_NANOS = 30e9; // time constant: the rate outlasts most outages
   private double sum;
   private long firstAddedAt;
   private long lastAddedAt;
--- a/src/main/java/loadbalancer/decision/DecisionContext.java
+++ b/src/main/java/loadbalancer/decision/DecisionContext.java
@@ -11,8 +11,11 @@
 
   static final long SECOND_NANOS = 1_000_000_000L;
 
-  private static final double WINDOW_OBJECTIVES = 2; // the longest ones: enough samples for a mean
-  private static final int SWEEPS_PER_OBJECTIVE = 8; // the shortest one: late attempts show soon
+  // Length of a window in longest latency objectives, which gives enough samples for a mean.
+  private static final double WINDOW_OBJECTIVES = 2;
+
+  // Number of sweeps in the shortest latency objective, so that late attempts are noticed soon.
+  private static final int SWEEPS_PER_OBJECTIVE = 8;
 
   final Settings settings;
   final SplittableRandom random; // the order of draws affects the decisions
@@ -20,7 +23,7 @@
   final long sweepNanos;
   final long shortestObjectiveNanos;
   long now; // clock reading of the event being handled
-  Consumer<Action> actions; // receives the actions that result from it, in order
+  Consumer<Action> actions; // receives the actions that result from the event, in order
 
   DecisionContext(Settings settings, long seed) {
     this.settings = settings;
--- a/src/main/java/loadbalancer/decision/DiscoveryPoller.java
+++ b/src/main/java/loadbalancer/decision/DiscoveryPoller.java
@@ -3,13 +3,16 @@
 import loadbalancer.decision.api.Action;
 import loadbalancer.decision.api.UpdateKind;
 
-/** Subscribes to the endpoint list and, with a backoff, again after failures. Owns the backoff. */
+/**
+ * Subscribes to an endpoint list that is polled and, with a backoff, again after failures. Owns the
+ * backoff.
+ */
 public final class DiscoveryPoller {
 
   static final String TIMER_TOKEN = "ask"; // token of the timer of the next subscription
 
-  // The longest backoff, 1 s, and the duration of a poll must fit into the 6 s after which the
-  // platform expects an instance to know of a change.
+  // The longest backoff, 1 s, and the duration of a poll must together fit into the 6 s after which
+  // the platform expects an instance to know of a change.
   private static final long BASE_BACKOFF_NANOS = DecisionContext.SECOND_NANOS / 4;
   private static final int MAX_DOUBLINGS = 2;
 
--- a/src/main/java/loadbalancer/decision/EndpointRegistry.java
+++ b/src/main/java/loadbalancer/decision/EndpointRegistry.java
@@ -17,20 +17,24 @@
 /** Tracks the endpoint list. Owns the endpoints, their loads, and the ring of the ready ones. */
 final class EndpointRegistry {
 
-  private static final int POINTS_PER_ENDPOINT = 100; // at median weight: keys vary by some 10%
-  private static final double MAX_WEIGHT = 4; // median weights; the minimum is the inverse
+  // Points of an endpoint of median weight. With 100, its share of the keys varies by about 10%.
+  private static final int POINTS_PER_ENDPOINT = 100;
+  private static final double MAX_WEIGHT = 4; // in median weights; the minimum is the inverse
 
   // Read by other components, written only here.
   TrackedEndpoint[] ready = {}; // the members of the ring, sorted by id
   final HashRing ring = new HashRing();
-  double readyLoad; // of attempts in flight at ready endpoints, in mean requests
+  double readyLoad; // load of the attempts in flight at ready endpoints, in mean requests
   final OutlierDetector outliers;
   final SlowStart slowStart;
 
   private final DecisionContext context;
   private final Map<Long, TrackedEndpoint> endpoints = new LinkedHashMap<>();
-  private final Set<TrackedEndpoint> departing = new LinkedHashSet<>(); // gone, not idle yet
-  private final List<TrackedEndpoint> bySlot = new ArrayList<>(); // null at free slots
+
+  // Endpoints that are gone, but still have attempts in flight.
+  private final Set<TrackedEndpoint> departing = new LinkedHashSet<>();
+
+  private final List<TrackedEndpoint> bySlot = new ArrayList<>(); // null at a free slot
   private double medianWeight; // 0 before the first ready endpoint
 
   EndpointRegistry(DecisionContext context) {
@@ -62,7 +66,7 @@
       outliers.onNewIncarnation(endpoint);
       slowStart.onNewIncarnation(endpoint);
     } else if (entry.startedNanos() > 0) {
-      // The same incarnation, which turned out to be older.
+      // The same incarnation, whose start is now known to be earlier.
       endpoint.startedAt = entry.startedNanos();
     }
     endpoint.listEntry = entry;
@@ -151,7 +155,7 @@
     return bySlot.size() - 1;
   }
 
-  /** Returns the member of the ring that has a slot. */
+  /** Returns the endpoint that has a slot of the ring. */
   TrackedEndpoint endpointAt(int slot) {
     return bySlot.get(slot);
   }
--- a/src/main/java/loadbalancer/decision/HashRing.java
+++ b/src/main/java/loadbalancer/decision/HashRing.java
@@ -11,9 +11,11 @@
 final class HashRing {
 
   private static final long SLOT_MASK = 0xffff; // low bits of a point, which hold its member's slot
-  private static final int TARGET_BUCKET_POINTS = 64; // highest mean per bucket after a split
 
-  private long[][] buckets = {{}}; // a power of two of them, each sorted
+  // Highest mean number of points in a bucket after a split.
+  private static final int TARGET_BUCKET_POINTS = 64;
+
+  private long[][] buckets = {{}}; // their number is a power of two; each is sorted
   private int bucketBits; // number of a point's high bits that select its bucket
   private int pointCount;
 
@@ -21,12 +23,12 @@
    * A member of the ring.
    *
    * @param slot the member's slot, unique among the members
-   * @param id determines the positions of its points, on every ring alike
+   * @param id determines the positions of its points, which are the same on every ring
    * @param points the number of its points
    */
   record Member(int slot, long id, int points) {}
 
-  /** Removes members, given as they were added, and adds others. */
+  /** Removes members, which must be given exactly as they were added, and adds others. */
   void update(List<Member> leaving, List<Member> joining) {
     long[] removed = points(leaving);
     long[] added = points(joining);
@@ -150,7 +152,7 @@
     return mixed ^ (mixed >>> 31);
   }
 
-  /** Returns a pseudo-random number from 0 to below 1 that depends only on two other numbers. */
+  /** Returns a pseudo-random number from 0 to below 1 that depends only on two given numbers. */
   static double fraction(long one, long other) {
     return (mix(one ^ other) >>> 11) * 0x1p-53;
   }
--- a/src/main/java/loadbalancer/decision/IdempotencePolicy.java
+++ b/src/main/java/loadbalancer/decision/IdempotencePolicy.java
@@ -35,7 +35,8 @@
         scope == DedupScope.ALL
             || (scope == DedupScope.ZONE && first.zone().equals(endpoint.zone()))
             || (scope == DedupScope.CELL && first.cell() == endpoint.cell());
-    // One tick shorter, because an attempt may be sent up to a tick after it is decided on.
+    // The window is one tick shorter, because an attempt may be sent up to a tick after it is
+    // decided on.
     long window = type.dedupWindowNanos() - context.settings.tickNanos();
     return recognised && context.now - earlier.startedAt < window;
   }
@@ -45,7 +46,7 @@
     return request.type.idempotence() == Idempotence.NON_IDEMPOTENT && request.mayHaveRun();
   }
 
-  /** Returns whether the client may safely repeat a request, as it may after a rejection. */
+  /** Returns whether a request may be rejected, after which the client may safely repeat it. */
   static boolean canReject(InFlightRequest request) {
     Idempotence idempotence = request.type.idempotence();
     boolean keyedForAll =
--- a/src/main/java/loadbalancer/decision/InFlightRequest.java
+++ b/src/main/java/loadbalancer/decision/InFlightRequest.java
@@ -15,10 +15,10 @@
   // Set once, by RequestClassifier.
   boolean hasQuota;
   boolean overQuota;
-  double priority; // the value of a response in time
+  double priority; // value of a response within the latency objective; less if over quota
   SlidingWindow routeWindow; // of its class and tenant, within or over quota
   SlidingWindow keyWindow; // of its affinity key within its route
-  double load; // in mean requests
+  double load; // its work as a multiple of that of the mean request
 
   // Written by RequestLifecycle.
   final List<Attempt> attempts = new ArrayList<>(1);
@@ -40,7 +40,9 @@
     return attempt < attempts.size() && attempts.get(attempt).inFlight;
   }
 
-  /** Returns whether an attempt was or may still be sent: another one uses the retry budget. */
+  /**
+   * Returns whether an attempt was or may still be sent, so that another one needs a retry token.
+   */
   boolean hasSentAttempt() {
     for (Attempt attempt : attempts) {
       if (attempt.mayHaveBeenSent) {
--- a/src/main/java/loadbalancer/decision/KeyedWindows.java
+++ b/src/main/java/loadbalancer/decision/KeyedWindows.java
@@ -7,8 +7,11 @@
 /** The windows of tenants, routes and affinity keys. Bounds their number and evicts idle ones. */
 final class KeyedWindows {
 
-  private static final int MAX_KEYS = 8_000; // bounds the memory; the least recently used one goes
-  private static final int EVICTION_CHECKS_PER_LOOKUP = 2; // a lookup adds at most one window
+  // Limits the memory. Beyond it, the least recently used window is evicted.
+  private static final int MAX_KEYS = 8_000;
+
+  // Two checks suffice to evict idle windows, because a lookup adds at most one window.
+  private static final int EVICTION_CHECKS_PER_LOOKUP = 2;
 
   private final DecisionContext context;
   private final Map<String, SlidingWindow> windows = new LinkedHashMap<>(64, 0.75f, true);
--- a/src/main/java/loadbalancer/decision/LoadBalancingEngine.java
+++ b/src/main/java/loadbalancer/decision/LoadBalancingEngine.java
@@ -15,7 +15,7 @@
   private final EndpointRegistry registry;
   private final DiscoveryPoller poller;
 
-  /** Creates the engine of an load balancer instance; the seed is its only source of randomness. */
+  /** Creates the engine of a load balancer instance; the seed is its only source of randomness. */
   public LoadBalancingEngine(Settings settings, long seed) {
     context = new DecisionContext(settings, seed);
     registry = new EndpointRegistry(context);
--- a/src/main/java/loadbalancer/decision/OutcomeRecorder.java
+++ b/src/main/java/loadbalancer/decision/OutcomeRecorder.java
@@ -8,7 +8,8 @@
 record OutcomeRecorder(
     DecisionContext context, AdaptiveRateLimiter rateLimiter, OutlierDetector outliers) {
 
-  private static final double MAX_LATENCY = Double.MAX_VALUE; // of attempts rejected or late
+  // Latency that is recorded for rejected and late attempts.
+  private static final double MAX_LATENCY = Double.MAX_VALUE;
 
   void record(InFlightRequest request, Attempt attempt, Event.AttemptEnded end) {
     AttemptStatus status = end.status();
@@ -51,7 +52,7 @@
     }
   }
 
-  /** Records attempts in flight past the objective as slow: their time-out may be seconds away. */
+  /** Records attempts as slow that are in flight past the objective, before they time out. */
   void recordLateAttempts(InFlightRequest request) {
     for (Attempt attempt : request.attempts) {
       long age = context.now - attempt.startedAt;
--- a/src/main/java/loadbalancer/decision/OutlierDetector.java
+++ b/src/main/java/loadbalancer/decision/OutlierDetector.java
@@ -6,46 +6,49 @@
 /** Detects ejected, silent, unreliable and slow endpoints. Owns their state and the panic mode. */
 final class OutlierDetector {
 
-  private static final int FAILURES_TO_EJECT = 3; // in a row
-  private static final long BASE_EJECTION_NANOS = DecisionContext.SECOND_NANOS / 2; // the first one
-  private static final int MAX_DOUBLINGS = 4; // for ejections in a row: up to 8 s
+  private static final int FAILURES_TO_EJECT = 3; // consecutive ones
 
-  // Fraction of the ready endpoints. With more outliers, none is avoided.
+  // A first ejection lasts up to 0.5 s; each further one in a row lasts twice as long, up to 8 s.
+  private static final long BASE_EJECTION_NANOS = DecisionContext.SECOND_NANOS / 2;
+  private static final int MAX_DOUBLINGS = 4;
+
+  // If more than this fraction of the ready endpoints are outliers, none of them is avoided.
   private static final double PANIC_FRACTION = 0.5;
 
   // An endpoint is silent after this multiple of its mean gap between responses, but not before
   // this fraction of the shortest latency objective: heavy requests cause gaps up to that length.
   private static final double SILENT_GAP_MULTIPLE = 8;
   private static final double MIN_SILENT_OBJECTIVE_FRACTION = 0.3;
-  private static final int MIN_GAP_SAMPLES = 4; // responses needed to know the mean gap
+  private static final int MIN_GAP_SAMPLES = 4; // responses needed to estimate the mean gap
 
-  private static final double FAILURE_RATE_SMOOTHING = 0.3; // weight of one outcome
-  private static final double FAILURE_RATE_DECAY_NANOS = 10e9; // towards 0, without outcomes
-  private static final double MAX_FAILURE_RATE = 0.1; // for requests that cannot be sent again
+  private static final double FAILURE_RATE_SMOOTHING = 0.3; // weight of the latest outcome
+  private static final double FAILURE_RATE_DECAY_NANOS = 10e9; // decay towards 0 without outcomes
+  private static final double MAX_FAILURE_RATE = 0.1; // for non-idempotent requests
 
-  // Slowness is an endpoint's latency over the fleet's mean latency; 1 if it is unknown.
+  // Slowness is an endpoint's latency as a multiple of the fleet's mean latency; 1 if unknown.
   private static final double SLOWNESS_MEAN_NANOS = 2e9; // time that the mean covers
-  private static final double SLOWNESS_DECAY_NANOS = 10e9; // towards 1, without samples
-  private static final double MAX_SLOWNESS_SMOOTHING = 0.3; // weight of one sample at most
-  private static final double MAX_SLOWNESS = 4; // of a sample: limits the effect of a time-out
+  private static final double SLOWNESS_DECAY_NANOS = 10e9; // decay towards 1 without samples
+  private static final double MAX_SLOWNESS_SMOOTHING = 0.3; // maximum weight of one sample
+  private static final double MAX_SLOWNESS = 4; // of one sample, to limit the effect of a time-out
 
   private final DecisionContext context;
-  private boolean panicMode; // too many ready endpoints are ejected or silent
-  private boolean fewUnreliable; // few enough ready endpoints have a high failure rate
+  private boolean panicMode; // whether too many ready endpoints are ejected or silent
+  private boolean fewUnreliable; // whether few enough ready endpoints fail often
 
   OutlierDetector(DecisionContext context) {
     this.context = context;
   }
 
-  /** Returns whether an endpoint is neither ejected nor silent, or too many are. */
+  /** Returns whether an endpoint may get attempts: it is not ejected or silent, or too many are. */
   boolean isAvailable(TrackedEndpoint endpoint) {
     return panicMode || (endpoint.ejectedUntil <= context.now && !isSilent(endpoint));
   }
 
   /**
-   * Returns whether an endpoint fails seldom enough for a request. The failure rate matters only to
-   * non-idempotent requests: one of many instances sends an endpoint too few attempts to wait for
-   * failures in a row, and the failures of other requests, which cost less, reveal the endpoint.
+   * Returns whether an endpoint fails seldom enough for a request. Only non-idempotent requests,
+   * which a failure mostly ends, are kept from endpoints with a high failure rate. An instance of a
+   * large group sends an endpoint too few attempts to wait for failures in a row, and failures of
+   * other requests, which cost less, show its rate.
    */
   boolean isReliableFor(InFlightRequest request, TrackedEndpoint endpoint) {
     return request.type.idempotence() != Idempotence.NON_IDEMPOTENT
@@ -105,7 +108,7 @@
 
   private double failureRate(TrackedEndpoint endpoint) {
     if (endpoint.failureRate == 0) {
-      return 0; // Saves the exponential for most endpoints at each sweep.
+      return 0; // Avoids the exponential for most endpoints at each sweep.
     }
     double age = endpoint.failureRateAt - context.now;
     return endpoint.failureRate * Math.exp(age / FAILURE_RATE_DECAY_NANOS);
--- a/src/main/java/loadbalancer/decision/RequestClassifier.java
+++ b/src/main/java/loadbalancer/decision/RequestClassifier.java
@@ -8,9 +8,12 @@
 /** Classifies arriving requests. Owns the keyed windows, the quotas and the mean work hint. */
 final class RequestClassifier {
 
-  private static final double MEAN_HINT_SMOOTHING = 0.005; // weight of one hint: a mean of some 200
-  private static final double MAX_HINT_MULTIPLE = 20; // of the mean hint: limits a huge hint
-  private static final double MAX_LOAD = 4; // mean requests; the minimum is the inverse
+  private static final double MEAN_HINT_SMOOTHING = 0.005; // the mean covers about 200 hints
+
+  // A hint counts as at most this multiple of the mean hint. Otherwise, one huge hint would raise
+  // the mean so much that all other requests would count as light.
+  private static final double MAX_HINT_MULTIPLE = 20;
+  private static final double MAX_LOAD = 4; // in mean requests; the minimum is the inverse
 
   final KeyedWindows windows;
   private final DecisionContext context;
@@ -47,8 +50,8 @@
     return request;
   }
 
-  // Returns a request's load in mean requests. It depends on the work hint because a few heavy
-  // requests fill an endpoint that seems half empty by their number.
+  // Returns a request's load as a multiple of the mean request's. It depends on the work hint,
+  // because a few heavy requests fill an endpoint that seems half empty by their number.
   private double loadByHint(long hint) {
     meanHintNanos +=
         meanHintNanos == 0
--- a/src/main/java/loadbalancer/decision/RequestLifecycle.java
+++ b/src/main/java/loadbalancer/decision/RequestLifecycle.java
@@ -13,11 +13,13 @@
 /** Manages requests from arrival to their final answer. Owns them while they are in flight. */
 final class RequestLifecycle {
 
-  private static final double MAX_QUEUE_WAIT_FRACTION = 0.3; // of the objective: reject early
-  private static final double RETRY_AFTER_FRACTION = 0.1; // of the objective, for a retry to meet
-  private static final int MAX_FAILED_QUEUE_TRIES = 4; // bounds the work if all endpoints are full
+  // Fractions of the latency objective: the longest wait for a first attempt, so that a rejection
+  // is early, and the longest Retry-After, so that a retry can still meet the objective.
+  private static final double MAX_QUEUE_WAIT_FRACTION = 0.3;
+  private static final double RETRY_AFTER_FRACTION = 0.1;
+  private static final int MAX_FAILED_QUEUE_TRIES = 4; // limits the work if all endpoints are full
 
-  // No attempt starts this shortly before the deadline, when the client leaves.
+  // No attempt starts within this many sweep intervals of the deadline, when the client leaves.
   private static final int DEADLINE_MARGIN_SWEEPS = 2;
 
   // Requests without a final answer or with an attempt in flight, by id.
@@ -117,7 +119,7 @@
     }
   }
 
-  /** Hedges requests at silent endpoints, and attempts, answers or keeps each queued request. */
+  /** Updates the statistics, hedges requests at silent endpoints, and advances queued requests. */
   void onSweep() {
     sweepScheduled = false;
     registry.outliers.onSweep(registry.ready);
@@ -134,7 +136,8 @@
     List.copyOf(queue).forEach(this::advance);
   }
 
-  // Attempts, answers or queues a request without an attempt in flight; returns false if queued.
+  // Starts an attempt of a request that has none in flight, or answers the request, or queues it.
+  // Returns false if the request is queued.
   private boolean advance(InFlightRequest request) {
     boolean outOfAttempts = isOutOfAttempts(request);
     if (!outOfAttempts && startAttempt(request)) {
@@ -193,8 +196,8 @@
     return new Action.RejectRequest(request.id(), retryAfter);
   }
 
-  // Ends a request that needs no further answer: cancels its attempts, or removes it if none is in
-  // flight.
+  // Marks a request as answered and takes it out of the queue. Removes it if no attempt is in
+  // flight; else cancels its attempts, if the deployment permits that, and their ends remove it.
   private void release(InFlightRequest request) {
     request.answered = true;
     queue.remove(request);
--- a/src/main/java/loadbalancer/decision/SlidingWindow.java
+++ b/src/main/java/loadbalancer/decision/SlidingWindow.java
@@ -1,7 +1,7 @@
 package loadbalancer.decision;
 
 /** Counts and sums over a sliding time window of fixed length. */
-@SuppressWarnings("EnumOrdinal") // Arrays by metric: maps for thousands of windows cost more.
+@SuppressWarnings("EnumOrdinal") // Indexes arrays: maps in thousands of windows would cost more.
 final class SlidingWindow {
 
   /** A quantity that a window sums up. */
@@ -35,7 +35,7 @@
     add(now, Metric.LATENCY_SUM, latency);
   }
 
-  /** Returns whether the window was not used for its whole length, so that all totals are 0. */
+  /** Returns whether the window has been unused for at least its length, so all totals are 0. */
   boolean isIdle(long now) {
     return now / slotNanos - slot >= SLOTS;
   }
--- a/src/main/java/loadbalancer/decision/SlowStart.java
+++ b/src/main/java/loadbalancer/decision/SlowStart.java
@@ -9,11 +9,15 @@
  */
 final class SlowStart {
 
-  private static final double OVERLOAD_FRACTION = 0.48; // safety margin to the contract's multiple
-  private static final double BURST_FRACTION = 0.25; // of the attempts allowed in the window
+  // Fraction of the contract's overload multiple that is used; the rest is a margin for random
+  // variation.
+  private static final double OVERLOAD_FRACTION = 0.48;
 
-  // Attempts a second that all instances together send to a warming endpoint at least. Without it,
-  // a fleet whose endpoints all warm up at the same time would get none.
+  // Largest burst, as a fraction of the attempts allowed in the contract's overload window.
+  private static final double BURST_FRACTION = 0.25;
+
+  // Lowest rate of attempts, summed over all instances, at a warming endpoint. Without it, a fleet
+  // whose endpoints all warm up at the same time would get none.
   private static final double MIN_RATE_PER_SECOND = 0.5;
 
   // With a larger fraction of the ready endpoints warming up, the observed rate reflects their
@@ -22,7 +26,9 @@
 
   private final DecisionContext context;
   private final ServiceContract contract;
-  private final double quotaRate; // requests a second of this instance by all quotas; 0 for none
+
+  // This instance's even share of all quotas, in requests a second; 0 without quotas.
+  private final double quotaRate;
   private final DecayingRate baselineRate = new DecayingRate(); // of attempts at one ready endpoint
   private double minBaselineRate; // 0 while the rate can be observed
 
@@ -82,8 +88,8 @@
   }
 
   void onNewIncarnation(TrackedEndpoint endpoint) {
-    // Starts with a random part of a token: if the budgets of many instances all started at 0, the
-    // endpoint would stay idle until they all sent their first attempt at the same time.
+    // The budget starts with a random fraction of a token. If the budgets of many instances started
+    // at 0, the endpoint would be idle until all sent their first attempt at the same time.
     endpoint.slowStartBudget.tokens = context.random.nextDouble();
     endpoint.slowStartBudget.refilledAt = context.now;
   }
--- a/src/main/java/loadbalancer/decision/TenantQuotas.java
+++ b/src/main/java/loadbalancer/decision/TenantQuotas.java
@@ -9,13 +9,17 @@
 /** Decides which requests exceed their tenant's quota. Owns this instance's shares of quotas. */
 final class TenantQuotas {
 
-  private static final double BURST_SECONDS = 1; // of a quota's rate
-  private static final double MIN_BURST = 10; // requests: random bursts exceed a small share
+  // Size of the token bucket in seconds of its rate, and its minimum in requests, because random
+  // bursts exceed a small quota.
+  private static final double BURST_SECONDS = 1;
+  private static final double MIN_BURST = 10;
 
   private final DecisionContext context;
   private final KeyedWindows windows;
-  private final Map<String, Double> quotaRates =
-      new HashMap<>(); // even shares, in requests a second
+
+  // This instance's even shares of the quotas, in requests a second, by tenant.
+  private final Map<String, Double> quotaRates = new HashMap<>();
+
   private final Map<String, TokenBucket> buckets = new HashMap<>();
 
   TenantQuotas(DecisionContext context, KeyedWindows windows) {
--- a/src/main/java/loadbalancer/decision/TrackedEndpoint.java
+++ b/src/main/java/loadbalancer/decision/TrackedEndpoint.java
@@ -11,13 +11,13 @@
   Endpoint listEntry;
   long startedAt; // start of the present incarnation; 0 if long ago
   int attemptsInFlight;
-  double load; // of the attempts in flight, in mean requests
+  double load; // sum of the loads of the attempts in flight
   HashRing.Member ringMember; // null while it is not on the ring
   long lastActivityAt; // last end of an attempt, or start of one with no other in flight
 
   // OutcomeRecorder
   final SlidingWindow responses; // successful ones; latencies in nanoseconds times load
-  long firstSuccessAt; // 0 before the first
+  long firstSuccessAt; // 0 before the first success
 
   // OutlierDetector
   int consecutiveFailures;
@@ -29,7 +29,7 @@
   long slownessAt;
 
   final TokenBucket slowStartBudget = new TokenBucket(); // SlowStart
-  long lastPickNumber; // BoundedLoadBalancer: the last pick that considered it
+  long lastPickNumber; // BoundedLoadBalancer: number of the last pick that visited it
 
   TrackedEndpoint(long id, DecisionContext context) {
     this.id = id;
--- a/src/main/java/loadbalancer/decision/api/Action.java
+++ b/src/main/java/loadbalancer/decision/api/Action.java
@@ -15,7 +15,8 @@
   record CancelAttempt(String requestId, int attempt) implements Action {}
 
   /**
-   * Rejects a request as its final answer. The client does no harm by sending it again.
+   * Rejects a request as its final answer, before or after attempts. The client may safely send it
+   * again.
    *
    * @param retryAfterNanos the wait advised to the client before it retries; 0 for no advice
    */
--- a/src/main/java/loadbalancer/decision/api/Event.java
+++ b/src/main/java/loadbalancer/decision/api/Event.java
@@ -59,7 +59,7 @@
       Map<String, Double> loadReport)
       implements Event {}
 
-  /** The client disconnected; its request gets no answer any more. */
+  /** The client disconnected; its request no longer gets an answer. */
   record ClientDisconnected(String requestId) implements Event {}
 
   /** A timer expired; the token is that of its {@link Action.SetTimer}. */
@@ -70,6 +70,6 @@
       long endpointId, AttemptStatus status, long latencyNanos, Map<String, Double> loadReport)
       implements Event {}
 
-  /** Another instance of the group sent a message. */
+  /** Another instance of the group sent a gossip message. */
   record GossipReceived(int from, byte[] data) implements Event {}
 }
--- a/src/main/java/loadbalancer/decision/api/RequestClass.java
+++ b/src/main/java/loadbalancer/decision/api/RequestClass.java
@@ -13,7 +13,7 @@
  * @param latencyObjectiveNanos the latency objective of a response, above 0
  * @param objectiveStretch multiple of the request's own work that is added to the objective
  * @param deadlineNanos time after which a response is of no use, above 0
- * @param priorityWeight the value of a response in time, not negative
+ * @param priorityWeight the value of a response within the latency objective, not negative
  * @param lateWeight the fraction of that value that a late response has, not negative
  * @param streaming whether responses may be streamed
  */
--- a/src/main/java/loadbalancer/decision/api/ServiceContract.java
+++ b/src/main/java/loadbalancer/decision/api/ServiceContract.java
@@ -1,8 +1,8 @@
 package loadbalancer.decision.api;
 
 /**
- * The time limits that the platform sets for every load balancer, and the behaviour of warming
- * endpoints that it has to expect.
+ * The time limits that the platform sets for every load balancer, and the behaviour to be expected
+ * of warming endpoints.
  *
  * @param responseSlackNanos time after a request's deadline within which it must get its final
  *     answer
--- a/src/main/java/loadbalancer/decision/api/Settings.java
+++ b/src/main/java/loadbalancer/decision/api/Settings.java
@@ -69,13 +69,13 @@
   }
 
   private static void checkContract(ServiceContract contract) {
-    check(contract.responseSlackNanos() >= 0, "response slack must not be negative");
-    check(contract.maxPollIntervalNanos() >= 0, "poll interval must not be negative");
+    check(contract.responseSlackNanos() >= 0, "response slack (answer-slack) must not be negative");
+    check(contract.maxPollIntervalNanos() >= 0, "poll interval (ask-within) must not be negative");
     check(contract.drainGraceNanos() >= 0, "drain grace must not be negative");
     check(
         contract.initialCapacity() > 0 && contract.initialCapacity() <= 1,
-        "cold-from must be above 0 and at most 1");
-    check(contract.slowStartNanos() >= 0, "slow start must not be negative");
+        "initial capacity (cold-from) must be above 0 and at most 1");
+    check(contract.slowStartNanos() >= 0, "slow start (warm-within) must not be negative");
     check(
         contract.overloadMultiple() > 0 && contract.overloadWindowNanos() >= 0,
         "overload multiple must be above 0, overload window not negative");
--- a/src/test/java/loadbalancer/decision/AdaptiveRateLimiterTest.java
+++ b/src/test/java/loadbalancer/decision/AdaptiveRateLimiterTest.java
@@ -168,7 +168,10 @@
     assertTrue(rejectedShare(driver, "t", 300, 10, 390 * MS, AttemptStatus.SUCCESS) > 0.2);
   }
 
-  /** Otherwise a fleet that collapsed would get no relief. */
+  /**
+   * The exception for low loads holds only within quotas; without this limit, a fleet that
+   * collapsed would get no relief.
+   */
   @Test
   void rejectsWithoutQuotasThoughFewAreInFlight() {
     EngineDriver driver = fiveEndpoints();
@@ -184,7 +187,10 @@
     assertTrue(rejected > 0.3, "rejected " + rejected);
   }
 
-  /** If one attempt in eight is reset at once, other endpoints can still serve the requests. */
+  /**
+   * Few requests may be rejected if one attempt in eight is reset immediately: other endpoints can
+   * still serve them.
+   */
   @Test
   void resetsDoNotCountAsTheWholeDeadline() {
     EngineDriver driver = new EngineDriver(idempotentSettings()).withEndpoints(6);
--- a/src/test/java/loadbalancer/decision/AdmissionFloorTest.java
+++ b/src/test/java/loadbalancer/decision/AdmissionFloorTest.java
@@ -19,7 +19,7 @@
  */
 class AdmissionFloorTest {
 
-  /** The longest time without an attempt; the limiter admits a request at least every 2 s. */
+  /** The longest time without an attempt; the rate limiter admits a request at least every 2 s. */
   private static final long MAX_PAUSE_NANOS = 4000 * EngineDriver.MS;
 
   private static final long ARRIVAL_INTERVAL_NANOS = 100 * EngineDriver.MS;
--- a/src/test/java/loadbalancer/decision/BoundedLoadBalancerTest.java
+++ b/src/test/java/loadbalancer/decision/BoundedLoadBalancerTest.java
@@ -30,7 +30,10 @@
     return owners;
   }
 
-  /** Returns how many of 30 simultaneous requests with a work hint start at one usual endpoint. */
+  /**
+   * Returns how many of 30 simultaneous requests with a work hint start at once, after 500 requests
+   * with a hint of 20 ms.
+   */
   private static int startedAtOnce(long hint) {
     EngineDriver driver = new EngineDriver(idempotentSettings()).withEndpoints(1);
     for (int i = 0; i < 500; i++) {
@@ -47,7 +50,10 @@
     return started;
   }
 
-  /** Returns how many of 30 simultaneous requests start after one with an odd work hint. */
+  /**
+   * Returns how many of 30 simultaneous requests start at once, if one of the 500 requests before
+   * them had another work hint than the rest.
+   */
   private static int startedAtOnceAfter(long oddHint) {
     EngineDriver driver = new EngineDriver(idempotentSettings()).withEndpoints(1);
     for (int i = 0; i < 500; i++) {
@@ -79,7 +85,7 @@
     EngineDriver driver = new EngineDriver(idempotentSettings()).withEndpoints(10);
     Map<String, Long> before = owners(driver, 2000);
     Map<Long, Integer> counts = new HashMap<>();
-    before.values().forEach(u -> counts.merge(u, 1, Integer::sum));
+    before.values().forEach(endpoint -> counts.merge(endpoint, 1, Integer::sum));
     assertEquals(10, counts.size());
     counts
         .values()
@@ -152,7 +158,10 @@
     assertTrue(remote[1] > 150, "attempts elsewhere, of those that should leave: " + remote[1]);
   }
 
-  /** Requests wait in the instance's queue, ordered by priority, and not in an endpoint's queue. */
+  /**
+   * Requests beyond an endpoint's capacity wait in the instance's queue, not in the endpoint's, and
+   * are rejected early.
+   */
   @Test
   void queuesPastTheCapacityOfAnEndpointAndRejectsEarly() {
     EngineDriver driver = new EngineDriver(idempotentSettings()).withEndpoints(1);
--- a/src/test/java/loadbalancer/decision/OutlierDetectorTest.java
+++ b/src/test/java/loadbalancer/decision/OutlierDetectorTest.java
@@ -120,9 +120,11 @@
           }
         });
     driver.advance(900 * MS);
-    long kept = owners(driver, 100).values().stream().filter(u -> u == 100).count();
-    long had = before.values().stream().filter(u -> u == 100).count();
-    assertTrue(kept < 0.7 * had, "keys kept before any time-out: " + kept + " of " + had);
+    long keysKept = owners(driver, 100).values().stream().filter(id -> id == 100).count();
+    long keysBefore = before.values().stream().filter(id -> id == 100).count();
+    assertTrue(
+        keysKept < 0.7 * keysBefore,
+        "keys kept before any time-out: " + keysKept + " of " + keysBefore);
   }
 
   /** Without ejection, an endpoint that fails fast would look idle and attract requests. */
@@ -166,11 +168,16 @@
       List.copyOf(driver.inFlight)
           .forEach(hedge -> driver.endAttempt(hedge, AttemptStatus.CANCELLED, 0));
     }
-    long kept = owners(driver, 300).entrySet().stream().filter(e -> e.getValue() == 100).count();
-    long had = before.values().stream().filter(u -> u == 100).count();
-    assertTrue(kept > 0 && kept < 0.6 * had, "keys kept: " + kept + " of " + had);
+    long keysKept =
+        owners(driver, 300).entrySet().stream().filter(owner -> owner.getValue() == 100).count();
+    long keysBefore = before.values().stream().filter(id -> id == 100).count();
+    assertTrue(
+        keysKept > 0 && keysKept < 0.6 * keysBefore,
+        "keys kept: " + keysKept + " of " + keysBefore);
     driver.advance(60_000 * MS);
-    long back = owners(driver, 300).values().stream().filter(u -> u == 100).count();
-    assertTrue(back > 0.9 * had, "keys regained after a minute: " + back + " of " + had);
+    long keysRegained = owners(driver, 300).values().stream().filter(id -> id == 100).count();
+    assertTrue(
+        keysRegained > 0.9 * keysBefore,
+        "keys regained after a minute: " + keysRegained + " of " + keysBefore);
   }
 }
--- a/src/test/java/loadbalancer/decision/ServiceContractTest.java
+++ b/src/test/java/loadbalancer/decision/ServiceContractTest.java
@@ -128,7 +128,7 @@
   }
 
   private void assertNoStateRemains() {
-    requests.forEach((name, e) -> assertTrue(e.answered, "no final answer for " + name));
+    requests.forEach((id, request) -> assertTrue(request.answered, "no final answer for " + id));
     long timersBefore = timers.size();
     now += 60_000 * MS;
     fireTimers();
@@ -216,37 +216,37 @@
   /** Ends attempts: those past the deadline time out, others end at random. */
   private void endAttempts(int percent) {
     for (Map.Entry<String, ObservedRequest> known : List.copyOf(requests.entrySet())) {
-      ObservedRequest entry = known.getValue();
-      for (int i = 0; i < entry.attempts.size(); i++) {
-        boolean late = now >= entry.deadline;
-        if (entry.statuses.get(i) == null && (late || random.nextInt(100) < percent / 4)) {
+      ObservedRequest request = known.getValue();
+      for (int i = 0; i < request.attempts.size(); i++) {
+        boolean late = now >= request.deadline;
+        if (request.statuses.get(i) == null && (late || random.nextInt(100) < percent / 4)) {
           AttemptStatus status =
-              entry.answered && random.nextBoolean()
+              request.answered && random.nextBoolean()
                   ? AttemptStatus.CANCELLED
                   : late
                       ? AttemptStatus.TIMEOUT
                       : random.nextInt(2) == 0
                           ? AttemptStatus.SUCCESS
                           : AttemptStatus.values()[random.nextInt(AttemptStatus.values().length)];
-          entry.statuses.set(i, status);
-          entry.answered |= status == AttemptStatus.SUCCESS;
+          request.statuses.set(i, status);
+          request.answered |= status == AttemptStatus.SUCCESS;
           handle(
               new AttemptEnded(
                   known.getKey(),
                   i,
-                  entry.attempts.get(i).endpointId(),
+                  request.attempts.get(i).endpointId(),
                   status,
-                  now - entry.attempts.get(i).at(),
-                  entry.answered,
+                  now - request.attempts.get(i).at(),
+                  request.answered,
                   Map.of()));
         }
       }
-      if (!entry.answered && random.nextInt(2000) == 0) {
-        entry.answered = true;
+      if (!request.answered && random.nextInt(2000) == 0) {
+        request.answered = true;
         handle(new ClientDisconnected(known.getKey()));
       }
       assertTrue(
-          entry.answered || now <= entry.deadline + settings.contract().responseSlackNanos(),
+          request.answered || now <= request.deadline + settings.contract().responseSlackNanos(),
           "late final answer for " + known.getKey());
     }
     requests.values().removeIf(entry -> entry.answered && entry.inFlight() == 0);
@@ -261,16 +261,17 @@
       } else if (action instanceof StartAttempt start) {
         checkAttempt(requests.get(start.requestId()), start);
       } else if (action instanceof RejectRequest rejection) {
-        ObservedRequest entry = requests.get(rejection.requestId());
-        assertTrue(!entry.answered, "one final answer");
-        boolean mayHaveRun = entry.statuses.stream().anyMatch(x -> x == null || !x.provesNotRun());
+        ObservedRequest request = requests.get(rejection.requestId());
+        assertTrue(!request.answered, "one final answer");
+        boolean mayHaveRun =
+            request.statuses.stream().anyMatch(x -> x == null || !x.provesNotRun());
         assertTrue(
             !mayHaveRun
-                || entry.type.idempotence() == Idempotence.IDEMPOTENT
-                || (entry.type.idempotence() == Idempotence.IDEMPOTENCY_KEY
-                    && entry.type.dedupScope() == DedupScope.ALL),
+                || request.type.idempotence() == Idempotence.IDEMPOTENT
+                || (request.type.idempotence() == Idempotence.IDEMPOTENCY_KEY
+                    && request.type.dedupScope() == DedupScope.ALL),
             "rejection although it may have run");
-        entry.answered = true;
+        request.answered = true;
       } else if (action instanceof FailRequest failure) {
         assertTrue(!requests.get(failure.requestId()).answered, "one final answer");
         requests.get(failure.requestId()).answered = true;
@@ -280,33 +281,34 @@
     }
   }
 
-  private void checkAttempt(ObservedRequest entry, StartAttempt start) {
+  private void checkAttempt(ObservedRequest request, StartAttempt start) {
     Endpoint to = fleet.get(start.endpointId());
-    assertTrue(!entry.answered, "attempt after the final answer");
+    assertTrue(!request.answered, "attempt after the final answer");
     assertEquals(EndpointState.READY, to.state(), "attempt at a draining or gone endpoint");
-    assertTrue(entry.attempts.size() < settings.limits().maxAttempts(), "too many attempts");
+    assertTrue(request.attempts.size() < settings.limits().maxAttempts(), "too many attempts");
     assertTrue(
-        entry.inFlight() == 0 || settings.limits().hedging(),
+        request.inFlight() == 0 || settings.limits().hedging(),
         "hedge although hedging is not allowed");
-    assertTrue(now < entry.deadline, "attempt past the deadline");
-    for (int i = 0; i < entry.attempts.size(); i++) {
-      ObservedAttempt earlier = entry.attempts.get(i);
-      if (entry.type.idempotence() != Idempotence.IDEMPOTENT
-          && (entry.statuses.get(i) == null || !entry.statuses.get(i).provesNotRun())) {
+    assertTrue(now < request.deadline, "attempt past the deadline");
+    for (int i = 0; i < request.attempts.size(); i++) {
+      ObservedAttempt earlier = request.attempts.get(i);
+      if (request.type.idempotence() != Idempotence.IDEMPOTENT
+          && (request.statuses.get(i) == null || !request.statuses.get(i).provesNotRun())) {
         assertEquals(
             Idempotence.IDEMPOTENCY_KEY,
-            entry.type.idempotence(),
+            request.type.idempotence(),
             "non-idempotent request attempted again");
         assertTrue(
-            now - earlier.at() < entry.type.dedupWindowNanos(), "retried past the dedup window");
+            now - earlier.at() < request.type.dedupWindowNanos(), "retried past the dedup window");
         assertTrue(
-            entry.type.dedupScope() == DedupScope.ALL
-                || (entry.type.dedupScope() == DedupScope.ZONE && earlier.zone().equals(to.zone()))
-                || (entry.type.dedupScope() == DedupScope.CELL && earlier.cell() == to.cell()),
+            request.type.dedupScope() == DedupScope.ALL
+                || (request.type.dedupScope() == DedupScope.ZONE
+                    && earlier.zone().equals(to.zone()))
+                || (request.type.dedupScope() == DedupScope.CELL && earlier.cell() == to.cell()),
             "retried outside the dedup scope");
       }
     }
-    entry.attempts.add(new ObservedAttempt(to.id(), to.zone(), to.cell(), now));
-    entry.statuses.add(null);
+    request.attempts.add(new ObservedAttempt(to.id(), to.zone(), to.cell(), now));
+    request.statuses.add(null);
   }
 }
--- a/src/test/java/loadbalancer/decision/SlowStartFleetTest.java
+++ b/src/test/java/loadbalancer/decision/SlowStartFleetTest.java
@@ -58,8 +58,8 @@
   private static final double SURGE_FRACTION = 1.3;
 
   /**
-   * Least attempts at a warming endpoint as a fraction of those at a warm one. Its mean capacity
-   * during slow start is the fraction 0.57.
+   * Fewest attempts at warming endpoints as a fraction of those expected at as many warm ones. The
+   * mean capacity of an endpoint during slow start is 0.57 of its full capacity.
    */
   private static final double MIN_ATTEMPT_FRACTION = 0.05;
 
@@ -174,7 +174,7 @@
                 }
               });
         } else if (action instanceof StartAttempt start) {
-          attempts.computeIfAbsent(start.endpointId(), u -> new ArrayList<>()).add(now);
+          attempts.computeIfAbsent(start.endpointId(), id -> new ArrayList<>()).add(now);
           long startedAt = now;
           schedule(
               now + LATENCY,
@@ -264,7 +264,7 @@
     }
   }
 
-  private static Fleet afterWarmUp(
+  private static Fleet runningFleet(
       int instanceCount, double quota, double offeredFraction, long seed) {
     Fleet fleet = new Fleet(instanceCount, quota, offeredFraction, seed);
     fleet.runFor(15 * SECOND);
@@ -275,7 +275,7 @@
    * Asserts that the attempts at each warming endpoint stay within its budget, and that the warming
    * endpoints get some.
    */
-  private static void assertWithin(
+  private static void assertWithinBudgets(
       Fleet fleet, int warmingCount, long startedAt, String description) {
     String message =
         description
@@ -309,11 +309,15 @@
   void attemptsOfAllInstancesStayWithinTheBudgets(int instanceCount, int warmingCount) {
     for (double quota : new double[] {1.5, 4, 12}) {
       for (double offeredFraction : new double[] {OFFERED_FRACTION, SURGE_FRACTION}) {
-        Fleet fleet = afterWarmUp(instanceCount, quota, offeredFraction, 1);
-        long at = fleet.now;
+        Fleet fleet = runningFleet(instanceCount, quota, offeredFraction, 1);
+        long restartedAt = fleet.now;
         fleet.restartEndpoints(warmingCount);
         fleet.runFor(SLOW_START);
-        assertWithin(fleet, warmingCount, at, warmingCount + " warming, asked " + offeredFraction);
+        assertWithinBudgets(
+            fleet,
+            warmingCount,
+            restartedAt,
+            warmingCount + " warming, offered " + offeredFraction);
       }
     }
   }
@@ -325,14 +329,14 @@
   @ParameterizedTest
   @ValueSource(ints = {1, 4, 30, 120})
   void aSurgeAfterLightTrafficStaysWithinTheBudgets(int instanceCount) {
-    Fleet fleet = afterWarmUp(instanceCount, 12, OFFERED_FRACTION, 2);
+    Fleet fleet = runningFleet(instanceCount, 12, OFFERED_FRACTION, 2);
     fleet.offeredFraction = OFFERED_FRACTION / 10;
-    long at = fleet.now;
+    long restartedAt = fleet.now;
     fleet.restartEndpoints(4);
     fleet.runFor(SLOW_START / 3);
     fleet.offeredFraction = SURGE_FRACTION;
     fleet.runFor(SLOW_START - SLOW_START / 3);
-    assertWithin(fleet, 4, at, "a surge");
+    assertWithinBudgets(fleet, 4, restartedAt, "a surge");
   }
 
   /**
@@ -342,8 +346,8 @@
   @ParameterizedTest
   @CsvSource({"1,4", "4,4", "30,4", "120,4", "1,40", "4,40", "30,40", "120,40"})
   void restartsOfInstancesStayWithinTheBudgets(int instanceCount, int warmingCount) {
-    Fleet fleet = afterWarmUp(instanceCount, 12, OFFERED_FRACTION, 3);
-    long at = fleet.now;
+    Fleet fleet = runningFleet(instanceCount, 12, OFFERED_FRACTION, 3);
+    long restartedAt = fleet.now;
     fleet.restartEndpoints(warmingCount);
     for (int round = 0; round < 60; round++) {
       for (int b = 0; b < instanceCount; b++) {
@@ -353,6 +357,6 @@
       }
       fleet.runFor(SLOW_START / 60);
     }
-    assertWithin(fleet, warmingCount, at, "restarts");
+    assertWithinBudgets(fleet, warmingCount, restartedAt, "restarts");
   }
 }
--- a/src/test/java/loadbalancer/decision/SlowStartTest.java
+++ b/src/test/java/loadbalancer/decision/SlowStartTest.java
@@ -106,7 +106,10 @@
     assertTrue(attempts >= 9, "attempts at it: " + attempts);
   }
 
-  /** With as many requests at once as the others get, it would be busy for seconds. */
+  /**
+   * With as many requests in flight as the other endpoints, a warming one would be busy for
+   * seconds.
+   */
   @Test
   void warmingEndpointHasAReducedLoadBound() {
     EngineDriver driver = new EngineDriver(idempotentSettings()).withEndpoints(5);
