--- a/src/main/java/loadbalancer/decision/BoundedLoadBalancer.java
+++ b/src/main/java/loadbalancer/decision/BoundedLoadBalancer.java
@@ -126,8 +126,8 @@
   private double capacity(TrackedEndpoint endpoint) {
     SlidingWindow responses = endpoint.responses;
     long age = context.now - endpoint.firstSuccessAt;
-    boolean isNew = endpoint.firstSuccessAt == 0 || age < context.windowNanos / 4;
-    if (isNew && responses.total(context.now, Metric.SAMPLES) < MIN_CAPACITY_SAMPLES) {
+    boolean lacksHistory = endpoint.firstSuccessAt == 0 || age < context.windowNanos / 4;
+    if (lacksHistory && responses.total(context.now, Metric.SAMPLES) < MIN_CAPACITY_SAMPLES) {
       return Double.MAX_VALUE;
     }
     long covered = Math.min(context.windowNanos / 2, Math.max(context.sweepNanos, age));
--- a/src/main/java/loadbalancer/decision/OutlierDetector.java
+++ b/src/main/java/loadbalancer/decision/OutlierDetector.java
@@ -23,7 +23,7 @@
 
   private static final double FAILURE_RATE_SMOOTHING = 0.3; // weight of the latest outcome
   private static final double FAILURE_RATE_DECAY_NANOS = 10e9; // decay towards 0 without outcomes
-  private static final double MAX_FAILURE_RATE = 0.1; // for non-idempotent requests
+  private static final double MAX_FAILURE_RATE = 0.1; // non-idempotent requests avoid higher ones
 
   // Slowness is an endpoint's latency as a multiple of the fleet's mean latency; 1 if unknown.
   private static final double SLOWNESS_MEAN_NANOS = 2e9; // time that the mean covers
--- a/src/test/java/loadbalancer/decision/AdmissionFloorTest.java
+++ b/src/test/java/loadbalancer/decision/AdmissionFloorTest.java
@@ -48,15 +48,15 @@
         new EngineDriver(EngineDriver.settings(false, List.of(), requestClass)).withEndpoints(4);
     long lastAttempt = driver.now;
     long longestPause = 0;
-    int rejected = 0;
+    int rejectionCount = 0;
     for (long end = driver.now + 60_000 * EngineDriver.MS; driver.now < end; ) {
       String id = driver.nextRequestId();
-      boolean isRejected =
+      boolean rejected =
           EngineDriver.contains(
               driver.handle(
                   new RequestArrived(id, "c", null, id, driver.now + 4 * objective, 0, false)),
               RejectRequest.class);
-      rejected += isRejected ? 1 : 0;
+      rejectionCount += rejected ? 1 : 0;
       driver.advanceEndingAttempts(ARRIVAL_INTERVAL_NANOS, status, 2 * objective);
       // Attempts take longer than the interval, so those started within it are still in flight.
       for (InFlightAttempt attempt : driver.inFlight) {
@@ -65,7 +65,7 @@
       }
     }
     longestPause = Math.max(longestPause, driver.now - lastAttempt);
-    assertTrue(rejected > 100, "rejected: " + rejected);
+    assertTrue(rejectionCount > 100, "rejected: " + rejectionCount);
     assertTrue(
         longestPause < MAX_PAUSE_NANOS, "no attempt for " + longestPause / EngineDriver.MS + " ms");
   }
--- a/src/test/java/loadbalancer/decision/BoundedLoadBalancerTest.java
+++ b/src/test/java/loadbalancer/decision/BoundedLoadBalancerTest.java
@@ -107,11 +107,12 @@
     EngineDriver driver = new EngineDriver(idempotentSettings()).withEndpoints(5);
     Map<Long, Integer> inFlight = new HashMap<>();
     for (int i = 0; i < 40; i++) {
-      long to = attemptedEndpoint(driver.request(driver.nextRequestId(), "c", "hot"));
-      inFlight.merge(to, 1, Integer::sum);
+      long endpoint = attemptedEndpoint(driver.request(driver.nextRequestId(), "c", "hot"));
+      inFlight.merge(endpoint, 1, Integer::sum);
       int bound = Math.max(2, (int) Math.ceil(2.0 * (i + 1) / 5));
       assertTrue(
-          inFlight.get(to) <= bound, "in flight " + inFlight.get(to) + " of a bound of " + bound);
+          inFlight.get(endpoint) <= bound,
+          "in flight " + inFlight.get(endpoint) + " of a bound of " + bound);
     }
     assertTrue(inFlight.size() >= 3);
   }
@@ -142,15 +143,18 @@
     for (int half = 0; half < 2; half++) {
       for (int i = 0; i < 600; i++) {
         String id = driver.nextRequestId();
-        long to = attemptedEndpoint(driver.request(id, "c", "k" + i));
-        remote[half] += to >= 104 ? 1 : 0;
-        while (to >= 0) {
-          boolean full = half == 1 && to < 104;
+        long endpoint = attemptedEndpoint(driver.request(id, "c", "k" + i));
+        remote[half] += endpoint >= 104 ? 1 : 0;
+        while (endpoint >= 0) {
+          boolean full = half == 1 && endpoint < 104;
           driver.advance(20 * MS);
-          to =
+          endpoint =
               attemptedEndpoint(
                   driver.endAttempt(
-                      id, to, full ? AttemptStatus.REJECTED : AttemptStatus.SUCCESS, 20 * MS));
+                      id,
+                      endpoint,
+                      full ? AttemptStatus.REJECTED : AttemptStatus.SUCCESS,
+                      20 * MS));
         }
       }
     }
@@ -226,9 +230,9 @@
     Map<String, Set<Long>> endpointsOfKey = new HashMap<>();
     for (int i = 0; i < 4000; i++) {
       String key = "k" + i % 60;
-      long to = attemptedEndpoint(driver.request(driver.nextRequestId(), "c", key));
-      if (to >= 0) {
-        endpointsOfKey.computeIfAbsent(key, k -> new HashSet<>()).add(to);
+      long endpoint = attemptedEndpoint(driver.request(driver.nextRequestId(), "c", key));
+      if (endpoint >= 0) {
+        endpointsOfKey.computeIfAbsent(key, k -> new HashSet<>()).add(endpoint);
       }
       driver.advanceEndingAttempts(MS, AttemptStatus.SUCCESS, 200 * MS);
     }
--- a/src/test/java/loadbalancer/decision/OutlierDetectorTest.java
+++ b/src/test/java/loadbalancer/decision/OutlierDetectorTest.java
@@ -51,14 +51,14 @@
     for (int i = 0; i < 900; i++) {
       boolean nonIdempotent = i % 3 == 0;
       String id = driver.nextRequestId();
-      long to = attemptedEndpoint(driver.request(id, nonIdempotent ? "u" : "c", "k" + i));
+      long endpoint = attemptedEndpoint(driver.request(id, nonIdempotent ? "u" : "c", "k" + i));
       driver.advance(5 * MS);
-      boolean failing = to == 103 && attemptsAtUnreliable++ % 2 == 0;
+      boolean failing = endpoint == 103 && attemptsAtUnreliable++ % 2 == 0;
       failedNonIdempotent += failing && nonIdempotent && i > 100 ? 1 : 0;
       long retryEndpoint =
           attemptedEndpoint(
               driver.endAttempt(
-                  id, to, failing ? AttemptStatus.ERROR : AttemptStatus.SUCCESS, 5 * MS));
+                  id, endpoint, failing ? AttemptStatus.ERROR : AttemptStatus.SUCCESS, 5 * MS));
       if (retryEndpoint >= 0) {
         driver.endAttempt(id, retryEndpoint, AttemptStatus.SUCCESS, 5 * MS);
       }
@@ -134,22 +134,24 @@
     for (int i = 0; i < 200; i++) {
       driver.serve("k" + i, MS);
     }
-    long bad = driver.serve("k0", MS);
+    long failingEndpoint = driver.serve("k0", MS);
     int failuresAtBad = 0;
     for (int i = 0; i < 100; i++) {
       String id = driver.nextRequestId();
-      long to = attemptedEndpoint(driver.request(id, "c", "k0"));
-      while (to == bad) {
+      long endpoint = attemptedEndpoint(driver.request(id, "c", "k0"));
+      while (endpoint == failingEndpoint) {
         failuresAtBad++;
-        to = attemptedEndpoint(driver.endAttempt(id, bad, AttemptStatus.CONNECT_FAILED, MS));
+        endpoint =
+            attemptedEndpoint(
+                driver.endAttempt(id, failingEndpoint, AttemptStatus.CONNECT_FAILED, MS));
       }
       driver.advance(MS);
-      driver.endAttempt(id, to, AttemptStatus.SUCCESS, MS);
+      driver.endAttempt(id, endpoint, AttemptStatus.SUCCESS, MS);
     }
     assertEquals(3, failuresAtBad, "failures before the ejection");
     driver.advance(600 * MS);
-    assertEquals(bad, driver.serve("k0", MS), "first attempt after the ejection");
-    assertEquals(bad, driver.serve("k0", MS), "second attempt after the ejection");
+    assertEquals(failingEndpoint, driver.serve("k0", MS), "first attempt after the ejection");
+    assertEquals(failingEndpoint, driver.serve("k0", MS), "second attempt after the ejection");
   }
 
   /**
@@ -162,9 +164,9 @@
     Map<String, Long> before = owners(driver, 300);
     for (int i = 0; i < 900; i++) {
       String id = driver.nextRequestId();
-      long to = attemptedEndpoint(driver.request(id, "c", "k" + i % 300));
-      driver.advance(to == 100 ? 150 * MS : 30 * MS);
-      driver.endAttempt(id, to, AttemptStatus.SUCCESS, to == 100 ? 150 * MS : 30 * MS);
+      long endpoint = attemptedEndpoint(driver.request(id, "c", "k" + i % 300));
+      driver.advance(endpoint == 100 ? 150 * MS : 30 * MS);
+      driver.endAttempt(id, endpoint, AttemptStatus.SUCCESS, endpoint == 100 ? 150 * MS : 30 * MS);
       List.copyOf(driver.inFlight)
           .forEach(hedge -> driver.endAttempt(hedge, AttemptStatus.CANCELLED, 0));
     }
--- a/src/test/java/loadbalancer/decision/RequestLifecycleTest.java
+++ b/src/test/java/loadbalancer/decision/RequestLifecycleTest.java
@@ -40,11 +40,11 @@
   @Test
   void stopsAtTheAttemptLimitAndLeavesAnsweredRequestsAlone() {
     EngineDriver driver = new EngineDriver(idempotentSettings()).withEndpoints(12);
-    long to = attemptedEndpoint(driver.request("r", "c", "k"));
+    long endpoint = attemptedEndpoint(driver.request("r", "c", "k"));
     int attempts = 0;
-    while (to >= 0) {
+    while (endpoint >= 0) {
       attempts++;
-      to = attemptedEndpoint(driver.endAttempt("r", to, AttemptStatus.REJECTED, MS));
+      endpoint = attemptedEndpoint(driver.endAttempt("r", endpoint, AttemptStatus.REJECTED, MS));
     }
     assertEquals(4, attempts);
     assertFalse(contains(driver.advance(3000 * MS), StartAttempt.class));
@@ -57,10 +57,10 @@
     int attempts = 0;
     for (int i = 0; i < 500; i++) {
       String id = driver.nextRequestId();
-      long to = attemptedEndpoint(driver.request(id, "c", "k" + i));
-      while (to >= 0) {
+      long endpoint = attemptedEndpoint(driver.request(id, "c", "k" + i));
+      while (endpoint >= 0) {
         attempts++;
-        to = attemptedEndpoint(driver.endAttempt(id, to, AttemptStatus.REJECTED, MS));
+        endpoint = attemptedEndpoint(driver.endAttempt(id, endpoint, AttemptStatus.REJECTED, MS));
       }
       driver.advance(MS);
     }
--- a/src/test/java/loadbalancer/decision/ServiceContractTest.java
+++ b/src/test/java/loadbalancer/decision/ServiceContractTest.java
@@ -45,7 +45,7 @@
   /** A millisecond in nanoseconds. */
   private static final long MS = 1_000_000L;
 
-  private record ObservedAttempt(long endpointId, String zone, int cell, long at) {}
+  private record ObservedAttempt(long endpointId, String zone, int cell, long startedAt) {}
 
   /** A request as seen from outside the engine. */
   private static final class ObservedRequest {
@@ -236,7 +236,7 @@
                   i,
                   request.attempts.get(i).endpointId(),
                   status,
-                  now - request.attempts.get(i).at(),
+                  now - request.attempts.get(i).startedAt(),
                   request.answered,
                   Map.of()));
         }
@@ -282,9 +282,9 @@
   }
 
   private void checkAttempt(ObservedRequest request, StartAttempt start) {
-    Endpoint to = fleet.get(start.endpointId());
+    Endpoint endpoint = fleet.get(start.endpointId());
     assertTrue(!request.answered, "attempt after the final answer");
-    assertEquals(EndpointState.READY, to.state(), "attempt at a draining or gone endpoint");
+    assertEquals(EndpointState.READY, endpoint.state(), "attempt at a draining or gone endpoint");
     assertTrue(request.attempts.size() < settings.limits().maxAttempts(), "too many attempts");
     assertTrue(
         request.inFlight() == 0 || settings.limits().hedging(),
@@ -299,16 +299,18 @@
             request.type.idempotence(),
             "non-idempotent request attempted again");
         assertTrue(
-            now - earlier.at() < request.type.dedupWindowNanos(), "retried past the dedup window");
+            now - earlier.startedAt() < request.type.dedupWindowNanos(),
+            "retried past the dedup window");
         assertTrue(
             request.type.dedupScope() == DedupScope.ALL
                 || (request.type.dedupScope() == DedupScope.ZONE
-                    && earlier.zone().equals(to.zone()))
-                || (request.type.dedupScope() == DedupScope.CELL && earlier.cell() == to.cell()),
+                    && earlier.zone().equals(endpoint.zone()))
+                || (request.type.dedupScope() == DedupScope.CELL
+                    && earlier.cell() == endpoint.cell()),
             "retried outside the dedup scope");
       }
     }
-    request.attempts.add(new ObservedAttempt(to.id(), to.zone(), to.cell(), now));
+    request.attempts.add(new ObservedAttempt(endpoint.id(), endpoint.zone(), endpoint.cell(), now));
     request.statuses.add(null);
   }
 }
--- a/src/test/java/loadbalancer/decision/SlowStartFleetTest.java
+++ b/src/test/java/loadbalancer/decision/SlowStartFleetTest.java
@@ -102,7 +102,7 @@
    */
   private static final class Fleet {
 
-    private record ScheduledTask(long at, long order, LongConsumer task) {}
+    private record ScheduledTask(long dueAt, long sequence, LongConsumer task) {}
 
     final int instanceCount;
 
@@ -115,11 +115,12 @@
     final double[] shares;
     final PriorityQueue<ScheduledTask> queue =
         new PriorityQueue<>(
-            Comparator.comparingLong(ScheduledTask::at).thenComparingLong(ScheduledTask::order));
+            Comparator.comparingLong(ScheduledTask::dueAt)
+                .thenComparingLong(ScheduledTask::sequence));
     final List<Endpoint> endpointList = new ArrayList<>();
     final Map<Long, List<Long>> attempts = new HashMap<>();
     long now = START;
-    long order;
+    long taskCount;
     int requestCount;
     double offeredFraction;
 
@@ -132,24 +133,24 @@
       incarnations = new int[instanceCount];
       shares = new double[instanceCount];
       double sum = 0;
-      for (int b = 0; b < instanceCount; b++) {
-        shares[b] = -Math.log(1 - random.nextDouble()) + 0.1;
-        sum += shares[b];
+      for (int instance = 0; instance < instanceCount; instance++) {
+        shares[instance] = -Math.log(1 - random.nextDouble()) + 0.1;
+        sum += shares[instance];
       }
-      for (int b = 0; b < instanceCount; b++) {
-        shares[b] /= sum;
+      for (int instance = 0; instance < instanceCount; instance++) {
+        shares[instance] /= sum;
       }
-      for (int e = 0; e < ENDPOINTS; e++) {
-        endpointList.add(new Endpoint(100 + e, "a", 0, EndpointState.READY, 0, 1));
+      for (int endpoint = 0; endpoint < ENDPOINTS; endpoint++) {
+        endpointList.add(new Endpoint(100 + endpoint, "a", 0, EndpointState.READY, 0, 1));
       }
-      for (int b = 0; b < instanceCount; b++) {
-        restartInstance(b);
+      for (int instance = 0; instance < instanceCount; instance++) {
+        restartInstance(instance);
       }
       schedule(now, this::sendRequest);
     }
 
     void schedule(long when, LongConsumer task) {
-      queue.add(new ScheduledTask(when, order++, task));
+      queue.add(new ScheduledTask(when, taskCount++, task));
     }
 
     /** Replaces an instance's engine by a new one, which knows only the endpoint list. */
@@ -218,9 +219,9 @@
 
     void runFor(long nanos) {
       long end = now + nanos;
-      while (queue.peek().at() <= end) {
+      while (queue.peek().dueAt() <= end) {
         ScheduledTask due = queue.poll();
-        now = due.at();
+        now = due.dueAt();
         due.task().accept(now);
       }
       now = end;
@@ -228,11 +229,12 @@
 
     /** Restarts the first endpoints of the list and notifies all instances. */
     void restartEndpoints(int warmingCount) {
-      for (int e = 0; e < warmingCount; e++) {
-        endpointList.set(e, new Endpoint(100 + e, "a", 0, EndpointState.READY, now, 1));
+      for (int endpoint = 0; endpoint < warmingCount; endpoint++) {
+        endpointList.set(
+            endpoint, new Endpoint(100 + endpoint, "a", 0, EndpointState.READY, now, 1));
       }
-      for (int b = 0; b < instanceCount; b++) {
-        handle(b, new EndpointListUpdate(UpdateKind.FULL, List.copyOf(endpointList)));
+      for (int instance = 0; instance < instanceCount; instance++) {
+        handle(instance, new EndpointListUpdate(UpdateKind.FULL, List.copyOf(endpointList)));
       }
     }
 
@@ -245,7 +247,7 @@
           attempts.getOrDefault(100L + endpoint, List.of()).stream()
               .filter(t -> t >= startedAt)
               .toList();
-      double worst = Double.NEGATIVE_INFINITY;
+      double worstExcess = Double.NEGATIVE_INFINITY;
       for (int i = 0, j = 0; i < times.size(); i++) {
         while (j < times.size() && times.get(j) < times.get(i) + OVERLOAD_WINDOW) {
           j++;
@@ -258,9 +260,9 @@
                 * quota
                 * OVERLOAD_WINDOW
                 / SECOND;
-        worst = Math.max(worst, j - i - (budget + 2 * Math.sqrt(budget) + 2));
+        worstExcess = Math.max(worstExcess, j - i - (budget + 2 * Math.sqrt(budget) + 2));
       }
-      return worst;
+      return worstExcess;
     }
   }
 
@@ -285,11 +287,11 @@
             + fleet.quota
             + " a second for each";
     long attempts = 0;
-    for (int e = 0; e < warmingCount; e++) {
-      double over = fleet.excess(e, startedAt);
-      assertTrue(over <= 0, message + ": attempts beyond the budget: " + over);
+    for (int endpoint = 0; endpoint < warmingCount; endpoint++) {
+      double excess = fleet.excess(endpoint, startedAt);
+      assertTrue(excess <= 0, message + ": attempts beyond the budget: " + excess);
       attempts +=
-          fleet.attempts.getOrDefault(100L + e, List.of()).stream()
+          fleet.attempts.getOrDefault(100L + endpoint, List.of()).stream()
               .filter(t -> t >= startedAt)
               .count();
     }
@@ -350,9 +352,9 @@
     long restartedAt = fleet.now;
     fleet.restartEndpoints(warmingCount);
     for (int round = 0; round < 60; round++) {
-      for (int b = 0; b < instanceCount; b++) {
-        if (round == 30 || (b + round) % 10 == 0) {
-          fleet.restartInstance(b);
+      for (int instance = 0; instance < instanceCount; instance++) {
+        if (round == 30 || (instance + round) % 10 == 0) {
+          fleet.restartInstance(instance);
         }
       }
       fleet.runFor(SLOW_START / 60);
--- a/src/test/java/loadbalancer/decision/SlowStartTest.java
+++ b/src/test/java/loadbalancer/decision/SlowStartTest.java
@@ -96,10 +96,10 @@
     int attempts = 0;
     for (int i = 0; i < 200; i++) {
       String id = driver.nextRequestId();
-      long to = attemptedEndpoint(driver.request(id, "c", "k" + i));
-      driver.advance(to == 200 ? 25 * MS : 10 * MS);
-      driver.endAttempt(id, to, AttemptStatus.SUCCESS, to == 200 ? 25 * MS : 10 * MS);
-      attempts += to == 200 ? 1 : 0;
+      long endpoint = attemptedEndpoint(driver.request(id, "c", "k" + i));
+      driver.advance(endpoint == 200 ? 25 * MS : 10 * MS);
+      driver.endAttempt(id, endpoint, AttemptStatus.SUCCESS, endpoint == 200 ? 25 * MS : 10 * MS);
+      attempts += endpoint == 200 ? 1 : 0;
     }
     // Its even share is 33. Its capacity fraction grows from 0.3 to 0.5 meanwhile, which matches a
     // latency 2.5 times that of the others.
