--- a/src/main/java/loadbalancer/decision/InFlightRequest.java
+++ b/src/main/java/loadbalancer/decision/InFlightRequest.java
@@ -14,17 +14,17 @@
 
   // Set once, by RequestClassifier.
   boolean hasQuota;
-  boolean isOverQuota;
-  double priority; // the value of a response in time
+  boolean overQuota;
+  double priority; // value of a response within the latency objective; less if over quota
   SlidingWindow routeWindow; // of its class and tenant, within or over quota
   SlidingWindow keyWindow; // of its affinity key within its route
-  double load; // in mean requests
+  double load; // its work as a multiple of that of the mean request
 
   // Written by RequestLifecycle.
   final List<Attempt> attempts = new ArrayList<>(1);
   int attemptsInFlight;
-  boolean isAnswered;
-  boolean isStreaming;
+  boolean answered;
+  boolean streaming;
 
   InFlightRequest(Event.RequestArrived arrival, RequestClass type, long now) {
     this.arrival = arrival;
@@ -37,10 +37,12 @@
   }
 
   boolean isInFlight(int attempt) {
-    return attempt < attempts.size() && attempts.get(attempt).isInFlight;
+    return attempt < attempts.size() && attempts.get(attempt).inFlight;
   }
 
-  /** Returns whether an attempt was or may still be sent: another one uses the retry budget. */
+  /**
+   * Returns whether an attempt was or may still be sent, so that another one needs a retry token.
+   */
   boolean hasSentAttempt() {
     for (Attempt attempt : attempts) {
       if (attempt.mayHaveBeenSent) {
--- a/src/test/java/loadbalancer/decision/BoundedLoadBalancerTest.java
+++ b/src/test/java/loadbalancer/decision/BoundedLoadBalancerTest.java
@@ -30,7 +30,10 @@
     return owners;
   }
 
-  /** Returns how many of 30 simultaneous requests with a work hint start at one usual endpoint. */
+  /**
+   * Returns how many of 30 simultaneous requests with a work hint start at once, after 500 requests
+   * with a hint of 20 ms.
+   */
   private static int startedAtOnce(long hint) {
     EngineDriver driver = new EngineDriver(idempotentSettings()).withEndpoints(1);
     for (int i = 0; i < 500; i++) {
@@ -47,7 +50,10 @@
     return started;
   }
 
-  /** Returns how many of 30 simultaneous requests start after one with an odd work hint. */
+  /**
+   * Returns how many of 30 simultaneous requests start at once, if one of the 500 requests before
+   * them had another work hint than the rest.
+   */
   private static int startedAtOnceAfter(long oddHint) {
     EngineDriver driver = new EngineDriver(idempotentSettings()).withEndpoints(1);
     for (int i = 0; i < 500; i++) {
@@ -79,7 +85,7 @@
     EngineDriver driver = new EngineDriver(idempotentSettings()).withEndpoints(10);
     Map<String, Long> before = owners(driver, 2000);
     Map<Long, Integer> counts = new HashMap<>();
-    before.values().forEach(u -> counts.merge(u, 1, Integer::sum));
+    before.values().forEach(endpoint -> counts.merge(endpoint, 1, Integer::sum));
     assertEquals(10, counts.size());
     counts
         .values()
@@ -101,11 +107,12 @@
     EngineDriver driver = new EngineDriver(idempotentSettings()).withEndpoints(5);
     Map<Long, Integer> inFlight = new HashMap<>();
     for (int i = 0; i < 40; i++) {
-      long to = attemptedEndpoint(driver.request(driver.nextRequestId(), "c", "hot"));
-      inFlight.merge(to, 1, Integer::sum);
+      long endpoint = attemptedEndpoint(driver.request(driver.nextRequestId(), "c", "hot"));
+      inFlight.merge(endpoint, 1, Integer::sum);
       int bound = Math.max(2, (int) Math.ceil(2.0 * (i + 1) / 5));
       assertTrue(
-          inFlight.get(to) <= bound, "in flight " + inFlight.get(to) + " of a bound of " + bound);
+          inFlight.get(endpoint) <= bound,
+          "in flight " + inFlight.get(endpoint) + " of a bound of " + bound);
     }
     assertTrue(inFlight.size() >= 3);
   }
@@ -136,15 +143,18 @@
     for (int half = 0; half < 2; half++) {
       for (int i = 0; i < 600; i++) {
         String id = driver.nextRequestId();
-        long to = attemptedEndpoint(driver.request(id, "c", "k" + i));
-        remote[half] += to >= 104 ? 1 : 0;
-        while (to >= 0) {
-          boolean isFull = half == 1 && to < 104;
+        long endpoint = attemptedEndpoint(driver.request(id, "c", "k" + i));
+        remote[half] += endpoint >= 104 ? 1 : 0;
+        while (endpoint >= 0) {
+          boolean full = half == 1 && endpoint < 104;
           driver.advance(20 * MS);
-          to =
+          endpoint =
               attemptedEndpoint(
                   driver.endAttempt(
-                      id, to, isFull ? AttemptStatus.REJECTED : AttemptStatus.SUCCESS, 20 * MS));
+                      id,
+                      endpoint,
+                      full ? AttemptStatus.REJECTED : AttemptStatus.SUCCESS,
+                      20 * MS));
         }
       }
     }
@@ -152,7 +162,10 @@
     assertTrue(remote[1] > 150, "attempts elsewhere, of those that should leave: " + remote[1]);
   }
 
-  /** Requests wait in the instance's queue, ordered by priority, and not in an endpoint's queue. */
+  /**
+   * Requests beyond an endpoint's capacity wait in the instance's queue, not in the endpoint's, and
+   * are rejected early.
+   */
   @Test
   void queuesPastTheCapacityOfAnEndpointAndRejectsEarly() {
     EngineDriver driver = new EngineDriver(idempotentSettings()).withEndpoints(1);
@@ -217,9 +230,9 @@
     Map<String, Set<Long>> endpointsOfKey = new HashMap<>();
     for (int i = 0; i < 4000; i++) {
       String key = "k" + i % 60;
-      long to = attemptedEndpoint(driver.request(driver.nextRequestId(), "c", key));
-      if (to >= 0) {
-        endpointsOfKey.computeIfAbsent(key, k -> new HashSet<>()).add(to);
+      long endpoint = attemptedEndpoint(driver.request(driver.nextRequestId(), "c", key));
+      if (endpoint >= 0) {
+        endpointsOfKey.computeIfAbsent(key, k -> new HashSet<>()).add(endpoint);
       }
       driver.advanceEndingAttempts(MS, AttemptStatus.SUCCESS, 200 * MS);
     }
--- a/src/test/java/loadbalancer/decision/OutlierDetectorTest.java
+++ b/src/test/java/loadbalancer/decision/OutlierDetectorTest.java
@@ -49,16 +49,16 @@
     int attemptsAtUnreliable = 0;
     int failedNonIdempotent = 0;
     for (int i = 0; i < 900; i++) {
-      boolean isNonIdempotent = i % 3 == 0;
+      boolean nonIdempotent = i % 3 == 0;
       String id = driver.nextRequestId();
-      long to = attemptedEndpoint(driver.request(id, isNonIdempotent ? "u" : "c", "k" + i));
+      long endpoint = attemptedEndpoint(driver.request(id, nonIdempotent ? "u" : "c", "k" + i));
       driver.advance(5 * MS);
-      boolean isFailing = to == 103 && attemptsAtUnreliable++ % 2 == 0;
-      failedNonIdempotent += isFailing && isNonIdempotent && i > 100 ? 1 : 0;
+      boolean failing = endpoint == 103 && attemptsAtUnreliable++ % 2 == 0;
+      failedNonIdempotent += failing && nonIdempotent && i > 100 ? 1 : 0;
       long retryEndpoint =
           attemptedEndpoint(
               driver.endAttempt(
-                  id, to, isFailing ? AttemptStatus.ERROR : AttemptStatus.SUCCESS, 5 * MS));
+                  id, endpoint, failing ? AttemptStatus.ERROR : AttemptStatus.SUCCESS, 5 * MS));
       if (retryEndpoint >= 0) {
         driver.endAttempt(id, retryEndpoint, AttemptStatus.SUCCESS, 5 * MS);
       }
@@ -120,9 +120,11 @@
           }
         });
     driver.advance(900 * MS);
-    long kept = owners(driver, 100).values().stream().filter(u -> u == 100).count();
-    long had = before.values().stream().filter(u -> u == 100).count();
-    assertTrue(kept < 0.7 * had, "keys kept before any time-out: " + kept + " of " + had);
+    long keysKept = owners(driver, 100).values().stream().filter(id -> id == 100).count();
+    long keysBefore = before.values().stream().filter(id -> id == 100).count();
+    assertTrue(
+        keysKept < 0.7 * keysBefore,
+        "keys kept before any time-out: " + keysKept + " of " + keysBefore);
   }
 
   /** Without ejection, an endpoint that fails fast would look idle and attract requests. */
@@ -132,22 +134,24 @@
     for (int i = 0; i < 200; i++) {
       driver.serve("k" + i, MS);
     }
-    long bad = driver.serve("k0", MS);
+    long failingEndpoint = driver.serve("k0", MS);
     int failuresAtBad = 0;
     for (int i = 0; i < 100; i++) {
       String id = driver.nextRequestId();
-      long to = attemptedEndpoint(driver.request(id, "c", "k0"));
-      while (to == bad) {
+      long endpoint = attemptedEndpoint(driver.request(id, "c", "k0"));
+      while (endpoint == failingEndpoint) {
         failuresAtBad++;
-        to = attemptedEndpoint(driver.endAttempt(id, bad, AttemptStatus.CONNECT_FAILED, MS));
+        endpoint =
+            attemptedEndpoint(
+                driver.endAttempt(id, failingEndpoint, AttemptStatus.CONNECT_FAILED, MS));
       }
       driver.advance(MS);
-      driver.endAttempt(id, to, AttemptStatus.SUCCESS, MS);
+      driver.endAttempt(id, endpoint, AttemptStatus.SUCCESS, MS);
     }
     assertEquals(3, failuresAtBad, "failures before the ejection");
     driver.advance(600 * MS);
-    assertEquals(bad, driver.serve("k0", MS), "first attempt after the ejection");
-    assertEquals(bad, driver.serve("k0", MS), "second attempt after the ejection");
+    assertEquals(failingEndpoint, driver.serve("k0", MS), "first attempt after the ejection");
+    assertEquals(failingEndpoint, driver.serve("k0", MS), "second attempt after the ejection");
   }
 
   /**
@@ -160,17 +164,22 @@
     Map<String, Long> before = owners(driver, 300);
     for (int i = 0; i < 900; i++) {
       String id = driver.nextRequestId();
-      long to = attemptedEndpoint(driver.request(id, "c", "k" + i % 300));
-      driver.advance(to == 100 ? 150 * MS : 30 * MS);
-      driver.endAttempt(id, to, AttemptStatus.SUCCESS, to == 100 ? 150 * MS : 30 * MS);
+      long endpoint = attemptedEndpoint(driver.request(id, "c", "k" + i % 300));
+      driver.advance(endpoint == 100 ? 150 * MS : 30 * MS);
+      driver.endAttempt(id, endpoint, AttemptStatus.SUCCESS, endpoint == 100 ? 150 * MS : 30 * MS);
       List.copyOf(driver.inFlight)
           .forEach(hedge -> driver.endAttempt(hedge, AttemptStatus.CANCELLED, 0));
     }
-    long kept = owners(driver, 300).entrySet().stream().filter(e -> e.getValue() == 100).count();
-    long had = before.values().stream().filter(u -> u == 100).count();
-    assertTrue(kept > 0 && kept < 0.6 * had, "keys kept: " + kept + " of " + had);
+    long keysKept =
+        owners(driver, 300).entrySet().stream().filter(owner -> owner.getValue() == 100).count();
+    long keysBefore = before.values().stream().filter(id -> id == 100).count();
+    assertTrue(
+        keysKept > 0 && keysKept < 0.6 * keysBefore,
+        "keys kept: " + keysKept + " of " + keysBefore);
     driver.advance(60_000 * MS);
-    long back = owners(driver, 300).values().stream().filter(u -> u == 100).count();
-    assertTrue(back > 0.9 * had, "keys regained after a minute: " + back + " of " + had);
+    long keysRegained = owners(driver, 300).values().stream().filter(id -> id == 100).count();
+    assertTrue(
+        keysRegained > 0.9 * keysBefore,
+        "keys regained after a minute: " + keysRegained + " of " + keysBefore);
   }
 }
--- a/src/test/java/loadbalancer/decision/SlowStartFleetTest.java
+++ b/src/test/java/loadbalancer/decision/SlowStartFleetTest.java
@@ -58,15 +58,15 @@
   private static final double SURGE_FRACTION = 1.3;
 
   /**
-   * Least attempts at a warming endpoint as a fraction of those at a warm one. Its mean capacity
-   * during slow start is the fraction 0.57.
+   * Fewest attempts at warming endpoints as a fraction of those expected at as many warm ones. The
+   * mean capacity of an endpoint during slow start is 0.57 of its full capacity.
    */
-  private static final double MIN_USED_FRACTION = 0.05;
+  private static final double MIN_ATTEMPT_FRACTION = 0.05;
 
   private static final long LATENCY = 60 * MS;
   private static final long START = 1_000 * SECOND;
 
-  private static Settings settings(int instanceIndex, int instances, double quota) {
+  private static Settings settings(int instanceIndex, int instanceCount, double quota) {
     RequestClass type =
         new RequestClass(
             "c",
@@ -81,7 +81,7 @@
             false);
     return new Settings(
         instanceIndex,
-        instances,
+        instanceCount,
         "a",
         List.of(type),
         List.of(new Tenant("t", 1, quota * ENDPOINTS)),
@@ -102,9 +102,9 @@
    */
   private static final class Fleet {
 
-    private record ScheduledTask(long at, long order, LongConsumer task) {}
+    private record ScheduledTask(long dueAt, long sequence, LongConsumer task) {}
 
-    final int instances;
+    final int instanceCount;
 
     /** The total of the quotas for one endpoint, in requests a second. */
     final double quota;
@@ -115,48 +115,49 @@
     final double[] shares;
     final PriorityQueue<ScheduledTask> queue =
         new PriorityQueue<>(
-            Comparator.comparingLong(ScheduledTask::at).thenComparingLong(ScheduledTask::order));
+            Comparator.comparingLong(ScheduledTask::dueAt)
+                .thenComparingLong(ScheduledTask::sequence));
     final List<Endpoint> endpointList = new ArrayList<>();
     final Map<Long, List<Long>> attempts = new HashMap<>();
     long now = START;
-    long order;
+    long taskCount;
     int requestCount;
     double offeredFraction;
 
-    Fleet(int instances, double quota, double offeredFraction, long seed) {
-      this.instances = instances;
+    Fleet(int instanceCount, double quota, double offeredFraction, long seed) {
+      this.instanceCount = instanceCount;
       this.quota = quota;
       this.offeredFraction = offeredFraction;
       random = new SplittableRandom(seed);
-      engines = new LoadBalancingEngine[instances];
-      incarnations = new int[instances];
-      shares = new double[instances];
+      engines = new LoadBalancingEngine[instanceCount];
+      incarnations = new int[instanceCount];
+      shares = new double[instanceCount];
       double sum = 0;
-      for (int b = 0; b < instances; b++) {
-        shares[b] = -Math.log(1 - random.nextDouble()) + 0.1;
-        sum += shares[b];
+      for (int instance = 0; instance < instanceCount; instance++) {
+        shares[instance] = -Math.log(1 - random.nextDouble()) + 0.1;
+        sum += shares[instance];
       }
-      for (int b = 0; b < instances; b++) {
-        shares[b] /= sum;
+      for (int instance = 0; instance < instanceCount; instance++) {
+        shares[instance] /= sum;
       }
-      for (int e = 0; e < ENDPOINTS; e++) {
-        endpointList.add(new Endpoint(100 + e, "a", 0, EndpointState.READY, 0, 1));
+      for (int endpoint = 0; endpoint < ENDPOINTS; endpoint++) {
+        endpointList.add(new Endpoint(100 + endpoint, "a", 0, EndpointState.READY, 0, 1));
       }
-      for (int b = 0; b < instances; b++) {
-        restartInstance(b);
+      for (int instance = 0; instance < instanceCount; instance++) {
+        restartInstance(instance);
       }
       schedule(now, this::sendRequest);
     }
 
     void schedule(long when, LongConsumer task) {
-      queue.add(new ScheduledTask(when, order++, task));
+      queue.add(new ScheduledTask(when, taskCount++, task));
     }
 
     /** Replaces an instance's engine by a new one, which knows only the endpoint list. */
     void restartInstance(int instance) {
       incarnations[instance]++;
       engines[instance] =
-          new LoadBalancingEngine(settings(instance, instances, quota), random.nextLong());
+          new LoadBalancingEngine(settings(instance, instanceCount, quota), random.nextLong());
       handle(instance, new EndpointListUpdate(UpdateKind.CACHED, List.copyOf(endpointList)));
     }
 
@@ -174,7 +175,7 @@
                 }
               });
         } else if (action instanceof StartAttempt start) {
-          attempts.computeIfAbsent(start.endpointId(), u -> new ArrayList<>()).add(now);
+          attempts.computeIfAbsent(start.endpointId(), id -> new ArrayList<>()).add(now);
           long startedAt = now;
           schedule(
               now + LATENCY,
@@ -199,7 +200,7 @@
     void sendRequest(long when) {
       double point = random.nextDouble();
       int instance = 0;
-      while (instance < instances - 1 && point > shares[instance]) {
+      while (instance < instanceCount - 1 && point > shares[instance]) {
         point -= shares[instance++];
       }
       // A few keys get much of the traffic.
@@ -218,21 +219,22 @@
 
     void runFor(long nanos) {
       long end = now + nanos;
-      while (queue.peek().at() <= end) {
+      while (queue.peek().dueAt() <= end) {
         ScheduledTask due = queue.poll();
-        now = due.at();
+        now = due.dueAt();
         due.task().accept(now);
       }
       now = end;
     }
 
     /** Restarts the first endpoints of the list and notifies all instances. */
-    void restartEndpoints(int warming) {
-      for (int e = 0; e < warming; e++) {
-        endpointList.set(e, new Endpoint(100 + e, "a", 0, EndpointState.READY, now, 1));
+    void restartEndpoints(int warmingCount) {
+      for (int endpoint = 0; endpoint < warmingCount; endpoint++) {
+        endpointList.set(
+            endpoint, new Endpoint(100 + endpoint, "a", 0, EndpointState.READY, now, 1));
       }
-      for (int b = 0; b < instances; b++) {
-        handle(b, new EndpointListUpdate(UpdateKind.FULL, List.copyOf(endpointList)));
+      for (int instance = 0; instance < instanceCount; instance++) {
+        handle(instance, new EndpointListUpdate(UpdateKind.FULL, List.copyOf(endpointList)));
       }
     }
 
@@ -245,7 +247,7 @@
           attempts.getOrDefault(100L + endpoint, List.of()).stream()
               .filter(t -> t >= startedAt)
               .toList();
-      double worst = Double.NEGATIVE_INFINITY;
+      double worstExcess = Double.NEGATIVE_INFINITY;
       for (int i = 0, j = 0; i < times.size(); i++) {
         while (j < times.size() && times.get(j) < times.get(i) + OVERLOAD_WINDOW) {
           j++;
@@ -258,14 +260,15 @@
                 * quota
                 * OVERLOAD_WINDOW
                 / SECOND;
-        worst = Math.max(worst, j - i - (budget + 2 * Math.sqrt(budget) + 2));
+        worstExcess = Math.max(worstExcess, j - i - (budget + 2 * Math.sqrt(budget) + 2));
       }
-      return worst;
+      return worstExcess;
     }
   }
 
-  private static Fleet afterWarmUp(int instances, double quota, double offeredFraction, long seed) {
-    Fleet fleet = new Fleet(instances, quota, offeredFraction, seed);
+  private static Fleet runningFleet(
+      int instanceCount, double quota, double offeredFraction, long seed) {
+    Fleet fleet = new Fleet(instanceCount, quota, offeredFraction, seed);
     fleet.runFor(15 * SECOND);
     return fleet;
   }
@@ -274,23 +277,30 @@
    * Asserts that the attempts at each warming endpoint stay within its budget, and that the warming
    * endpoints get some.
    */
-  private static void assertWithin(Fleet fleet, int warming, long startedAt, String description) {
+  private static void assertWithinBudgets(
+      Fleet fleet, int warmingCount, long startedAt, String description) {
     String message =
-        description + ", " + fleet.instances + " instances, " + fleet.quota + " a second for each";
+        description
+            + ", "
+            + fleet.instanceCount
+            + " instances, "
+            + fleet.quota
+            + " a second for each";
     long attempts = 0;
-    for (int e = 0; e < warming; e++) {
-      double over = fleet.excess(e, startedAt);
-      assertTrue(over <= 0, message + ": attempts beyond the budget: " + over);
+    for (int endpoint = 0; endpoint < warmingCount; endpoint++) {
+      double excess = fleet.excess(endpoint, startedAt);
+      assertTrue(excess <= 0, message + ": attempts beyond the budget: " + excess);
       attempts +=
-          fleet.attempts.getOrDefault(100L + e, List.of()).stream()
+          fleet.attempts.getOrDefault(100L + endpoint, List.of()).stream()
               .filter(t -> t >= startedAt)
               .count();
     }
-    double used =
-        attempts / (warming * fleet.quota * OFFERED_FRACTION * (fleet.now - startedAt) / SECOND);
+    double attemptFraction =
+        attempts
+            / (warmingCount * fleet.quota * OFFERED_FRACTION * (fleet.now - startedAt) / SECOND);
     assertTrue(
-        used >= MIN_USED_FRACTION,
-        message + ": attempts at them " + used + " of those at warm ones");
+        attemptFraction >= MIN_ATTEMPT_FRACTION,
+        message + ": attempts at them " + attemptFraction + " of those at warm ones");
   }
 
   @ParameterizedTest
@@ -298,14 +308,18 @@
     "1,1", "1,13", "1,40", "4,1", "4,13", "4,40", "30,1", "30,13", "30,40", "120,1", "120,13",
     "120,40"
   })
-  void attemptsOfAllInstancesStayWithinTheBudgets(int instances, int warming) {
+  void attemptsOfAllInstancesStayWithinTheBudgets(int instanceCount, int warmingCount) {
     for (double quota : new double[] {1.5, 4, 12}) {
       for (double offeredFraction : new double[] {OFFERED_FRACTION, SURGE_FRACTION}) {
-        Fleet fleet = afterWarmUp(instances, quota, offeredFraction, 1);
-        long at = fleet.now;
-        fleet.restartEndpoints(warming);
+        Fleet fleet = runningFleet(instanceCount, quota, offeredFraction, 1);
+        long restartedAt = fleet.now;
+        fleet.restartEndpoints(warmingCount);
         fleet.runFor(SLOW_START);
-        assertWithin(fleet, warming, at, warming + " warming, asked " + offeredFraction);
+        assertWithinBudgets(
+            fleet,
+            warmingCount,
+            restartedAt,
+            warmingCount + " warming, offered " + offeredFraction);
       }
     }
   }
@@ -316,15 +330,15 @@
    */
   @ParameterizedTest
   @ValueSource(ints = {1, 4, 30, 120})
-  void aSurgeAfterLightTrafficStaysWithinTheBudgets(int instances) {
-    Fleet fleet = afterWarmUp(instances, 12, OFFERED_FRACTION, 2);
+  void aSurgeAfterLightTrafficStaysWithinTheBudgets(int instanceCount) {
+    Fleet fleet = runningFleet(instanceCount, 12, OFFERED_FRACTION, 2);
     fleet.offeredFraction = OFFERED_FRACTION / 10;
-    long at = fleet.now;
+    long restartedAt = fleet.now;
     fleet.restartEndpoints(4);
     fleet.runFor(SLOW_START / 3);
     fleet.offeredFraction = SURGE_FRACTION;
     fleet.runFor(SLOW_START - SLOW_START / 3);
-    assertWithin(fleet, 4, at, "a surge");
+    assertWithinBudgets(fleet, 4, restartedAt, "a surge");
   }
 
   /**
@@ -333,18 +347,18 @@
    */
   @ParameterizedTest
   @CsvSource({"1,4", "4,4", "30,4", "120,4", "1,40", "4,40", "30,40", "120,40"})
-  void restartsOfInstancesStayWithinTheBudgets(int instances, int warming) {
-    Fleet fleet = afterWarmUp(instances, 12, OFFERED_FRACTION, 3);
-    long at = fleet.now;
-    fleet.restartEndpoints(warming);
+  void restartsOfInstancesStayWithinTheBudgets(int instanceCount, int warmingCount) {
+    Fleet fleet = runningFleet(instanceCount, 12, OFFERED_FRACTION, 3);
+    long restartedAt = fleet.now;
+    fleet.restartEndpoints(warmingCount);
     for (int round = 0; round < 60; round++) {
-      for (int b = 0; b < instances; b++) {
-        if (round == 30 || (b + round) % 10 == 0) {
-          fleet.restartInstance(b);
+      for (int instance = 0; instance < instanceCount; instance++) {
+        if (round == 30 || (instance + round) % 10 == 0) {
+          fleet.restartInstance(instance);
         }
       }
       fleet.runFor(SLOW_START / 60);
     }
-    assertWithin(fleet, warming, at, "restarts");
+    assertWithinBudgets(fleet, warmingCount, restartedAt, "restarts");
   }
 }
--- a/src/test/java/loadbalancer/decision/SlowStartTest.java
+++ b/src/test/java/loadbalancer/decision/SlowStartTest.java
@@ -67,8 +67,8 @@
           driver.updateEndpoints(
               UpdateKind.DELTA, new Endpoint(500, "a", 0, EndpointState.READY, driver.now, 1));
         }
-        boolean isAtWarmingEndpoint = driver.serve("k" + instance + i, MS) == 500;
-        attempts[Math.max(0, i / 5 - 80)] += isAtWarmingEndpoint ? 1 : 0;
+        boolean atWarmingEndpoint = driver.serve("k" + instance + i, MS) == 500;
+        attempts[Math.max(0, i / 5 - 80)] += atWarmingEndpoint ? 1 : 0;
         driver.advance(99 * MS);
       }
     }
@@ -96,17 +96,20 @@
     int attempts = 0;
     for (int i = 0; i < 200; i++) {
       String id = driver.nextRequestId();
-      long to = attemptedEndpoint(driver.request(id, "c", "k" + i));
-      driver.advance(to == 200 ? 25 * MS : 10 * MS);
-      driver.endAttempt(id, to, AttemptStatus.SUCCESS, to == 200 ? 25 * MS : 10 * MS);
-      attempts += to == 200 ? 1 : 0;
+      long endpoint = attemptedEndpoint(driver.request(id, "c", "k" + i));
+      driver.advance(endpoint == 200 ? 25 * MS : 10 * MS);
+      driver.endAttempt(id, endpoint, AttemptStatus.SUCCESS, endpoint == 200 ? 25 * MS : 10 * MS);
+      attempts += endpoint == 200 ? 1 : 0;
     }
     // Its even share is 33. Its capacity fraction grows from 0.3 to 0.5 meanwhile, which matches a
     // latency 2.5 times that of the others.
     assertTrue(attempts >= 9, "attempts at it: " + attempts);
   }
 
-  /** With as many requests at once as the others get, it would be busy for seconds. */
+  /**
+   * With as many requests in flight as the other endpoints, a warming one would be busy for
+   * seconds.
+   */
   @Test
   void warmingEndpointHasAReducedLoadBound() {
     EngineDriver driver = new EngineDriver(idempotentSettings()).withEndpoints(5);
