--- a/src/main/java/loadbalancer/proxy/ActionExecutor.java
+++ b/src/main/java/loadbalancer/proxy/ActionExecutor.java
@@ -117,7 +117,7 @@
   /** Rejects a request; where that would be no harmless answer it fails instead. */
   private void reject(RejectRequest reject) {
     ProxiedRequest request = requests.find(reject.requestId());
-    if (request != null && !request.isCompleted() && !guard.allowsRejection(request)) {
+    if (request != null && !request.isCompleted() && !guard.canReject(request)) {
       respond(reject.requestId(), HttpResponseStatus.INTERNAL_SERVER_ERROR, 0);
     } else {
       respond(reject.requestId(), HttpResponseStatus.TOO_MANY_REQUESTS, reject.retryAfterNanos());
@@ -130,7 +130,7 @@
     if (request != null && !request.isCompleted()) {
       completer.respond(request, status, retryAfterNanos);
     }
-    requests.removeIfOver(requestId);
+    requests.removeIfFinished(requestId);
   }
 
   /**
--- a/src/main/java/loadbalancer/proxy/AttemptGuard.java
+++ b/src/main/java/loadbalancer/proxy/AttemptGuard.java
@@ -33,10 +33,10 @@
   /**
    * Whether an attempt may be written now; counts why not.
    *
-   * @param writeBy clock reading at which its time, or the dedup window of those before it, is over
+   * @param writeDeadline clock reading at which its time, or the dedup window of those before it, is over
    */
-  boolean allows(ProxiedRequest request, ProxiedAttempt attempt, long writeBy) {
-    AttemptRefusal refusal = refusal(request, attempt, writeBy);
+  boolean canWrite(ProxiedRequest request, ProxiedAttempt attempt, long writeDeadline) {
+    AttemptRefusal refusal = refusal(request, attempt, writeDeadline);
     if (refusal == null) {
       return true;
     }
@@ -47,30 +47,33 @@
     return false;
   }
 
-  private AttemptRefusal refusal(ProxiedRequest request, ProxiedAttempt attempt, long writeBy) {
-    if (!request.isAwaited()) {
+  private AttemptRefusal refusal(
+      ProxiedRequest request, ProxiedAttempt attempt, long writeDeadline) {
+    if (!request.isClientWaiting()) {
       return AttemptRefusal.CLIENT_GONE;
     }
     if (!directory.isReady(attempt.endpointId())) {
       return AttemptRefusal.ENDPOINT_NOT_READY;
     }
-    if (clock.nowNanos() >= writeBy) {
+    if (clock.nowNanos() >= writeDeadline) {
       return AttemptRefusal.TIME_OVER;
     }
-    boolean runsOnce = request.requestClass().idempotence() == Idempotence.NON_IDEMPOTENT;
-    return runsOnce && request.mayHaveRunBeside(attempt) ? AttemptRefusal.WOULD_RUN_TWICE : null;
+    boolean isNonIdempotent = request.requestClass().idempotence() == Idempotence.NON_IDEMPOTENT;
+    return isNonIdempotent && request.mayHaveRunExcluding(attempt)
+        ? AttemptRefusal.WOULD_RUN_TWICE
+        : null;
   }
 
   /** Whether a rejection, by which the client may repeat the request, keeps what it promises. */
-  boolean allowsRejection(ProxiedRequest request) {
-    boolean harmful = request.mayHaveRun() && !mayRunAgainAnywhere(request.requestClass());
-    if (harmful) {
+  boolean canReject(ProxiedRequest request) {
+    boolean couldRunTwice = request.mayHaveRun() && !canRepeatAnywhere(request.requestClass());
+    if (couldRunTwice) {
       reportViolation("rejected_though_it_may_have_run", request);
     }
-    return !harmful;
+    return !couldRunTwice;
   }
 
-  private static boolean mayRunAgainAnywhere(RequestClass requestClass) {
+  private static boolean canRepeatAnywhere(RequestClass requestClass) {
     return switch (requestClass.idempotence()) {
       case IDEMPOTENT -> true;
       case IDEMPOTENCY_KEY -> requestClass.dedupScope() == DedupScope.ALL;
--- a/src/main/java/loadbalancer/proxy/AttemptRunner.java
+++ b/src/main/java/loadbalancer/proxy/AttemptRunner.java
@@ -61,17 +61,18 @@
     long now = clock.nowNanos();
     long endpointId = action.endpointId();
     ProxiedAttempt attempt = new ProxiedAttempt(request.attempts().size(), now);
-    long left = request.deadlineNanos() - now;
-    long timeout = action.timeoutNanos() == 0 ? left : Math.min(left, action.timeoutNanos());
-    long endsAt = now + timeout;
+    long remaining = request.deadlineNanos() - now;
+    long timeout =
+        action.timeoutNanos() == 0 ? remaining : Math.min(remaining, action.timeoutNanos());
+    long attemptDeadline = now + timeout;
     // Computed before this attempt is added: the window of the attempts before it counts.
-    long writeBy = Math.min(endsAt, request.repeatDeadlineNanos());
+    long writeDeadline = Math.min(attemptDeadline, request.dedupDeadlineNanos());
     UpstreamCall call =
         new UpstreamCall(
             endpointId,
-            () -> guard.allows(request, attempt, writeBy),
-            (status, response) -> ended(request, attempt, status, response));
-    attempt.bind(call);
+            () -> guard.canWrite(request, attempt, writeDeadline),
+            (status, response) -> attemptEnded(request, attempt, status, response));
+    attempt.setCall(call);
     request.addAttempt(attempt);
     SocketAddress address = directory.address(endpointId);
     if (timeout <= 0 || attempt.index() >= maxAttempts) {
@@ -84,7 +85,7 @@
           address,
           () ->
               UpstreamRequestFactory.forward(
-                  request.downstream().message(), endsAt - clock.nowNanos()),
+                  request.downstream().message(), attemptDeadline - clock.nowNanos()),
           timeout);
     }
   }
@@ -104,28 +105,28 @@
     }
   }
 
-  private void ended(
+  private void attemptEnded(
       ProxiedRequest request,
       ProxiedAttempt attempt,
       AttemptStatus status,
       FullHttpResponse response) {
-    attempt.end(status, clock.nowNanos());
+    attempt.recordEnd(status, clock.nowNanos());
     trace.attemptEnded(status);
     Map<String, Double> loadReport = loadReports.read(response);
     // The pool releases its reference when this returns, and the event waits for its turn.
     FullHttpResponse retained = status == AttemptStatus.SUCCESS ? response.retain() : null;
-    events.enqueue(new PendingEnd(request, attempt, retained, loadReport));
+    events.enqueue(new PendingAttemptEnd(request, attempt, retained, loadReport));
   }
 
   /** The end of an attempt, whose turn has not come; holds the response, if one came. */
-  private final class PendingEnd implements EventQueue.Pending {
+  private final class PendingAttemptEnd implements EventQueue.PendingEvent {
 
     private final ProxiedRequest request;
     private final ProxiedAttempt attempt;
     private final FullHttpResponse response;
     private final Map<String, Double> loadReport;
 
-    PendingEnd(
+    PendingAttemptEnd(
         ProxiedRequest request,
         ProxiedAttempt attempt,
         FullHttpResponse response,
@@ -159,7 +160,7 @@
       ProxiedAttempt attempt,
       FullHttpResponse response,
       Map<String, Double> loadReport) {
-    request.attemptDelivered();
+    request.markAttemptEndDelivered();
     if (response != null) {
       if (!request.isCompleted()) {
         completer.respondOk(request, response);
--- a/src/main/java/loadbalancer/proxy/ConfigurationFileWatcher.java
+++ b/src/main/java/loadbalancer/proxy/ConfigurationFileWatcher.java
@@ -14,11 +14,11 @@
 final class ConfigurationFileWatcher implements Runnable {
 
   /** What discovery has to tell counts 4 s after a change: several checks fit into that. */
-  private static final long CHECK_MILLIS = 500;
+  private static final long CHECK_INTERVAL_MILLIS = 500;
 
   private final Path file;
   private final Runnable reload;
-  private Version known;
+  private Version loadedVersion;
 
   /** A file as it was found; null stands for one that could not be looked at. */
   private record Version(long modifiedMillis, long size) {
@@ -36,7 +36,7 @@
   ConfigurationFileWatcher(Path file, Runnable reload) {
     this.file = file;
     this.reload = reload;
-    known = Version.of(file);
+    loadedVersion = Version.of(file);
   }
 
   /** Checks the file on a thread of its own until the process ends. */
@@ -50,7 +50,7 @@
   public void run() {
     try {
       while (true) {
-        TimeUnit.MILLISECONDS.sleep(CHECK_MILLIS);
+        TimeUnit.MILLISECONDS.sleep(CHECK_INTERVAL_MILLIS);
         check();
       }
     } catch (InterruptedException e) {
@@ -59,9 +59,9 @@
   }
 
   private void check() {
-    Version found = Version.of(file);
-    if (found != null && !Objects.equals(found, known)) {
-      known = found;
+    Version currentVersion = Version.of(file);
+    if (currentVersion != null && !Objects.equals(currentVersion, loadedVersion)) {
+      loadedVersion = currentVersion;
       reload.run();
     }
   }
--- a/src/main/java/loadbalancer/proxy/ConfigurationReloader.java
+++ b/src/main/java/loadbalancer/proxy/ConfigurationReloader.java
@@ -35,7 +35,7 @@
   synchronized void reload(Source source) {
     try {
       InetSocketAddress address = source.read().discoveryAddress();
-      loop.execute(() -> discovery.moveTo(address));
+      loop.execute(() -> discovery.changeAddress(address));
       LOG.info("configuration_reloaded discovery=" + address);
     } catch (IOException | RuntimeException e) {
       LOG.warning(
--- a/src/main/java/loadbalancer/proxy/DiscoveryWatch.java
+++ b/src/main/java/loadbalancer/proxy/DiscoveryWatch.java
@@ -27,7 +27,7 @@
   private static final int CONNECT_TIMEOUT_MILLIS = 1000;
 
   /** How often a discovery is asked again that has sent an outdated list. */
-  private static final long BEHIND_RETRY_MILLIS = 500;
+  private static final long OUTDATED_LIST_RETRY_MILLIS = 500;
 
   private final EventLoop loop;
   private final boolean pushed;
@@ -36,8 +36,8 @@
   private final DiscoveryClient client;
   private final CountDownLatch firstUpdate = new CountDownLatch(1);
   private RequestDispatcher dispatcher;
-  private int failures;
-  private boolean behindRetryScheduled;
+  private int consecutiveFailures;
+  private boolean isOutdatedListRetryScheduled;
 
   /**
    * Makes a client that has not called discovery yet.
@@ -64,7 +64,7 @@
             pushed,
             firstByteMillis(pushed, drainGraceNanos),
             directory::revision,
-            this::updated);
+            this::handleUpdate);
   }
 
   /** Where the list is polled, the calls wait in a queue: only the first list counts. */
@@ -89,7 +89,7 @@
   }
 
   /** Follows discovery to another address. */
-  void moveTo(InetSocketAddress address) {
+  void changeAddress(InetSocketAddress address) {
     client.changeAddress(address);
   }
 
@@ -101,36 +101,37 @@
     return Latches.await(firstUpdate, nanos);
   }
 
-  private void updated(UpdateKind kind, EndpointList list) {
+  private void handleUpdate(UpdateKind kind, EndpointList list) {
     if (kind != UpdateKind.FAILED) {
       firstUpdate.countDown();
     }
     if (kind == UpdateKind.FAILED && pushed) {
       retryWatch();
     } else {
-      failures = 0;
+      consecutiveFailures = 0;
       dispatcher.endpointsUpdated(kind, list);
-      retryWhereBehind(list);
+      scheduleRetryIfOutdated(list);
     }
   }
 
-  private void retryWhereBehind(EndpointList list) {
-    if (directory.isDiscoveryBehind() && !behindRetryScheduled) {
+  private void scheduleRetryIfOutdated(EndpointList list) {
+    if (directory.isDiscoveryBehind() && !isOutdatedListRetryScheduled) {
       LOG.warning("endpoint_list_outdated revision=" + list.revision());
-      behindRetryScheduled = true;
-      loop.schedule(this::watchAgainIfBehind, BEHIND_RETRY_MILLIS, TimeUnit.MILLISECONDS);
+      isOutdatedListRetryScheduled = true;
+      loop.schedule(
+          this::restartWatchIfOutdated, OUTDATED_LIST_RETRY_MILLIS, TimeUnit.MILLISECONDS);
     }
   }
 
-  private void watchAgainIfBehind() {
-    behindRetryScheduled = false;
+  private void restartWatchIfOutdated() {
+    isOutdatedListRetryScheduled = false;
     if (directory.isDiscoveryBehind()) {
       client.restartWatch();
     }
   }
 
   private void retryWatch() {
-    long backoffMillis = AgentRetryPolicy.backoffMillis(failures++, drainGraceNanos);
+    long backoffMillis = AgentRetryPolicy.backoffMillis(consecutiveFailures++, drainGraceNanos);
     // Spread, so that the instances on a machine do not all call their agent at the same time.
     long delayMillis = ThreadLocalRandom.current().nextLong(backoffMillis / 2, backoffMillis);
     loop.schedule(client::resumeWatch, delayMillis, TimeUnit.MILLISECONDS);
--- a/src/main/java/loadbalancer/proxy/EngineRunner.java
+++ b/src/main/java/loadbalancer/proxy/EngineRunner.java
@@ -26,7 +26,7 @@
 
   private final EventLoop loop;
   private final MonotonicClock clock;
-  private final LongFunction<DecisionEngine> engines;
+  private final LongFunction<DecisionEngine> engineFactory;
   private final EventQueue events;
   private final EndpointDirectory directory;
   private final InFlightRequests requests;
@@ -38,13 +38,13 @@
   /**
    * Makes the first engine.
    *
-   * @param engines makes the engine of a generation, counted from 0
+   * @param engineFactory makes the engine of a generation, counted from 0
    * @param actions carries out the engine's actions
    */
   EngineRunner(
       EventLoop loop,
       MonotonicClock clock,
-      LongFunction<DecisionEngine> engines,
+      LongFunction<DecisionEngine> engineFactory,
       EventQueue events,
       EndpointDirectory directory,
       InFlightRequests requests,
@@ -53,14 +53,14 @@
       Consumer<Action> actions) {
     this.loop = loop;
     this.clock = clock;
-    this.engines = engines;
+    this.engineFactory = engineFactory;
     this.events = events;
     this.directory = directory;
     this.requests = requests;
     this.completer = completer;
     this.attempts = attempts;
     this.actions = actions;
-    engine = engines.apply(events.engineGeneration());
+    engine = engineFactory.apply(events.engineGeneration());
   }
 
   /** Has the engine handle an event, and carries out the actions that follow. */
@@ -73,9 +73,9 @@
       recover(event);
     }
     if (event instanceof AttemptEnded ended) {
-      requests.removeIfOver(ended.requestId());
+      requests.removeIfFinished(ended.requestId());
     } else if (event instanceof ClientDisconnected disconnected) {
-      requests.removeIfOver(disconnected.requestId());
+      requests.removeIfFinished(disconnected.requestId());
     }
   }
 
@@ -89,8 +89,8 @@
    * final response, and a new engine starts from the endpoint list as it is known. An engine that
    * fails on its first event would do so forever; the process ends instead.
    */
-  private void recover(Event failedOn) {
-    if (failedOn instanceof EndpointListUpdate update && update.kind() == UpdateKind.CACHED) {
+  private void recover(Event failedEvent) {
+    if (failedEvent instanceof EndpointListUpdate update && update.kind() == UpdateKind.CACHED) {
       LOG.severe("engine_start_failed process=ends");
       completer.failAll();
       // In a later turn, after the responses have been written.
@@ -102,8 +102,8 @@
     }
     completer.failAll();
     requests.clear();
-    engine = engines.apply(events.startNextGeneration());
-    EndpointListUpdate known = directory.snapshot();
-    events.enqueue(() -> known);
+    engine = engineFactory.apply(events.startNextGeneration());
+    EndpointListUpdate currentList = directory.snapshot();
+    events.enqueue(() -> currentList);
   }
 }
--- a/src/main/java/loadbalancer/proxy/EventQueue.java
+++ b/src/main/java/loadbalancer/proxy/EventQueue.java
@@ -16,7 +16,7 @@
 
   /** An event whose turn has not come. */
   @FunctionalInterface
-  interface Pending {
+  interface PendingEvent {
 
     /** The event, once its turn has come; null where it no longer applies by then. */
     Event take();
@@ -26,10 +26,10 @@
   }
 
   private final EventLoop loop;
-  private final ArrayDeque<Pending> pending = new ArrayDeque<>();
+  private final ArrayDeque<PendingEvent> pending = new ArrayDeque<>();
   private final Runnable delivery = this::deliver;
   private Consumer<Event> receiver;
-  private boolean deliveryScheduled;
+  private boolean isDeliveryScheduled;
   private long engineGeneration;
 
   EventQueue(EventLoop loop) {
@@ -45,10 +45,10 @@
   }
 
   /** Appends an event. */
-  void enqueue(Pending event) {
+  void enqueue(PendingEvent event) {
     pending.add(event);
-    if (!deliveryScheduled) {
-      deliveryScheduled = true;
+    if (!isDeliveryScheduled) {
+      isDeliveryScheduled = true;
       loop.execute(delivery);
     }
   }
@@ -63,14 +63,14 @@
    * next engine.
    */
   long startNextGeneration() {
-    pending.forEach(Pending::discard);
+    pending.forEach(PendingEvent::discard);
     pending.clear();
     return ++engineGeneration;
   }
 
   private void deliver() {
-    deliveryScheduled = false;
-    for (Pending next = pending.poll(); next != null; next = pending.poll()) {
+    isDeliveryScheduled = false;
+    for (PendingEvent next = pending.poll(); next != null; next = pending.poll()) {
       Event event = next.take();
       if (event != null) {
         receiver.accept(event);
--- a/src/main/java/loadbalancer/proxy/GracefulShutdown.java
+++ b/src/main/java/loadbalancer/proxy/GracefulShutdown.java
@@ -65,7 +65,7 @@
   private final DownstreamListener listener;
   private final long expiryMillis;
   private final Runnable closeEventLoop;
-  private final AtomicBoolean begun = new AtomicBoolean();
+  private final AtomicBoolean hasBegun = new AtomicBoolean();
   private final CountDownLatch started = new CountDownLatch(1);
   private final CountDownLatch drained = new CountDownLatch(1);
   private final CountDownLatch complete = new CountDownLatch(1);
@@ -106,7 +106,7 @@
 
   /** Shuts down and returns once that is complete. Called again it only waits. */
   void run() {
-    if (!begun.compareAndSet(false, true)) {
+    if (!hasBegun.compareAndSet(false, true)) {
       awaitCompletion();
       return;
     }
--- a/src/main/java/loadbalancer/proxy/HealthChecker.java
+++ b/src/main/java/loadbalancer/proxy/HealthChecker.java
@@ -47,7 +47,7 @@
             endpointId,
             () -> true,
             (status, response) ->
-                ended(endpointId, status, response, clock.nowNanos() - startedAt));
+                checkEnded(endpointId, status, response, clock.nowNanos() - startedAt));
     SocketAddress address = directory.address(endpointId);
     if (address == null) {
       call.complete(AttemptStatus.CONNECT_FAILED, null);
@@ -56,7 +56,7 @@
     }
   }
 
-  private void ended(
+  private void checkEnded(
       long endpointId, AttemptStatus status, FullHttpResponse response, long latencyNanos) {
     Map<String, Double> loadReport = loadReports.read(response);
     events.enqueue(() -> new HealthCheckResult(endpointId, status, latencyNanos, loadReport));
--- a/src/main/java/loadbalancer/proxy/InFlightRequests.java
+++ b/src/main/java/loadbalancer/proxy/InFlightRequests.java
@@ -50,7 +50,7 @@
   /**
    * Removes a request, if it is still there, once it is completed and all its attempts have ended.
    */
-  void removeIfOver(String id) {
+  void removeIfFinished(String id) {
     ProxiedRequest request = byId.get(id);
     if (request != null && request.isCompleted() && !request.hasAttemptsInFlight()) {
       byId.remove(id);
--- a/src/main/java/loadbalancer/proxy/ProxiedAttempt.java
+++ b/src/main/java/loadbalancer/proxy/ProxiedAttempt.java
@@ -13,19 +13,19 @@
   private AttemptStatus status;
   private long latencyNanos;
 
-  /** The attempt with this index within its request, from 0; {@link #bind} completes it. */
+  /** The attempt with this index within its request, from 0; {@link #setCall} completes it. */
   ProxiedAttempt(int index, long startedAtNanos) {
     this.index = index;
     this.startedAtNanos = startedAtNanos;
   }
 
   /** Names the call that carries the attempt out. */
-  void bind(UpstreamCall call) {
+  void setCall(UpstreamCall call) {
     this.call = call;
   }
 
   /** Records how the attempt ended. */
-  void end(AttemptStatus status, long nowNanos) {
+  void recordEnd(AttemptStatus status, long nowNanos) {
     this.status = status;
     latencyNanos = nowNanos - startedAtNanos;
   }
@@ -39,7 +39,7 @@
   }
 
   /** Whether a response may still come of it, or has come. */
-  boolean mayRespond() {
+  boolean mayGetResponse() {
     return status == null ? call.isWritten() : status == AttemptStatus.SUCCESS;
   }
 
--- a/src/main/java/loadbalancer/proxy/ProxiedRequest.java
+++ b/src/main/java/loadbalancer/proxy/ProxiedRequest.java
@@ -21,7 +21,7 @@
   private final String id;
   private final long acceptedAtNanos;
   private final List<ProxiedAttempt> attempts = new ArrayList<>(1);
-  private Future<?> expiry;
+  private Future<?> expiryTimer;
   private int attemptsInFlight;
   private boolean clientHalfClosed;
   private boolean completed;
@@ -47,7 +47,7 @@
   }
 
   /** The event that notifies the decision engine of its arrival. */
-  RequestArrived arrival() {
+  RequestArrived arrivalEvent() {
     return new RequestArrived(
         id,
         downstream.requestClass().name(),
@@ -95,7 +95,7 @@
   }
 
   /** One of its attempts has ended, and the decision engine is about to be told. */
-  void attemptDelivered() {
+  void markAttemptEndDelivered() {
     attemptsInFlight--;
   }
 
@@ -105,8 +105,8 @@
   }
 
   /** The timer that completes the request after its deadline; cancelled on completion. */
-  void expireBy(Future<?> timer) {
-    expiry = timer;
+  void setExpiryTimer(Future<?> timer) {
+    expiryTimer = timer;
   }
 
   /** The client has ended its sending. */
@@ -124,7 +124,7 @@
   }
 
   /** Whether its client is there and waits, by everything that has arrived from it up to now. */
-  boolean isAwaited() {
+  boolean isClientWaiting() {
     return !completed && !clientHalfClosed && downstream.response().isResponseAwaited();
   }
 
@@ -133,8 +133,8 @@
     if (!completed) {
       completed = true;
       downstream.message().release();
-      if (expiry != null) {
-        expiry.cancel(false);
+      if (expiryTimer != null) {
+        expiryTimer.cancel(false);
       }
     }
   }
@@ -152,7 +152,7 @@
   /** Whether a response may still come of an attempt that has been written, or has come. */
   boolean mayGetResponse() {
     for (ProxiedAttempt attempt : attempts) {
-      if (attempt.mayRespond()) {
+      if (attempt.mayGetResponse()) {
         return true;
       }
     }
@@ -161,11 +161,11 @@
 
   /** Whether some endpoint may have run it, as far as is known now. */
   boolean mayHaveRun() {
-    return mayHaveRunBeside(null);
+    return mayHaveRunExcluding(null);
   }
 
   /** Whether some endpoint may have run it by another attempt than this one. */
-  boolean mayHaveRunBeside(ProxiedAttempt excluded) {
+  boolean mayHaveRunExcluding(ProxiedAttempt excluded) {
     for (ProxiedAttempt attempt : attempts) {
       if (attempt != excluded && attempt.mayHaveRun()) {
         return true;
@@ -178,7 +178,7 @@
    * Clock reading until which a further attempt may start. Endpoints recognise the repeat of a
    * request by its idempotency key for a limited time only, and may have run it already.
    */
-  long repeatDeadlineNanos() {
+  long dedupDeadlineNanos() {
     long deadline = Long.MAX_VALUE;
     if (requestClass().idempotence() != Idempotence.IDEMPOTENCY_KEY) {
       return deadline;
--- a/src/main/java/loadbalancer/proxy/ProxyComponents.java
+++ b/src/main/java/loadbalancer/proxy/ProxyComponents.java
@@ -42,7 +42,7 @@
 
     private final EventLoop loop;
     private final Settings settings;
-    private final LongFunction<DecisionEngine> engines;
+    private final LongFunction<DecisionEngine> engineFactory;
     private final MonotonicClock clock = new MonotonicClock();
     private final EndpointDirectory directory = new EndpointDirectory(clock);
     private Bootstrap upstreams;
@@ -56,12 +56,12 @@
     /**
      * Starts with the parts that have no choice.
      *
-     * @param engines makes the n-th decision engine of the process, from 0
+     * @param engineFactory makes the n-th decision engine of the process, from 0
      */
-    Builder(EventLoop loop, Settings settings, LongFunction<DecisionEngine> engines) {
+    Builder(EventLoop loop, Settings settings, LongFunction<DecisionEngine> engineFactory) {
       this.loop = loop;
       this.settings = settings;
-      this.engines = engines;
+      this.engineFactory = engineFactory;
     }
 
     /** The endpoint list of the proxy that is being built. */
@@ -163,7 +163,15 @@
               trace);
       events.deliverTo(
           new EngineRunner(
-              loop, clock, engines, events, directory, requests, completer, attempts, actions));
+              loop,
+              clock,
+              engineFactory,
+              events,
+              directory,
+              requests,
+              completer,
+              attempts,
+              actions));
       return new RequestDispatcher(
           loop, clock, directory, pool, requests, completer, attempts, events);
     }
--- a/src/main/java/loadbalancer/proxy/ProxyServer.java
+++ b/src/main/java/loadbalancer/proxy/ProxyServer.java
@@ -84,18 +84,18 @@
    * discovery knows applies from the process's first moment on, and the list in the configuration
    * may be older.
    *
-   * @param engines makes the n-th engine of the process, from 0
+   * @param engineFactory makes the n-th engine of the process, from 0
    * @param discoveryWaitMillis how long to wait at most
    */
   public static ProxyServer prepare(
-      BalancerConfig config, LongFunction<DecisionEngine> engines, long discoveryWaitMillis)
+      BalancerConfig config, LongFunction<DecisionEngine> engineFactory, long discoveryWaitMillis)
       throws IOException {
     ProxyServer server = new ProxyServer(config);
     try {
-      server.loop.submit(() -> server.wire(engines)).syncUninterruptibly();
-      long waitUntil = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(discoveryWaitMillis);
+      server.loop.submit(() -> server.wire(engineFactory)).syncUninterruptibly();
+      long waitDeadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(discoveryWaitMillis);
       WarmUp.run(config.settings());
-      if (!server.discovery.awaitFirstUpdate(waitUntil - System.nanoTime())) {
+      if (!server.discovery.awaitFirstUpdate(waitDeadline - System.nanoTime())) {
         LOG.warning("discovery_silent_at_start waited_ms=" + discoveryWaitMillis);
       }
     } catch (RuntimeException e) {
@@ -106,8 +106,9 @@
   }
 
   /** Runs on the event loop. */
-  private void wire(LongFunction<DecisionEngine> engines) {
-    ProxyComponents.Builder builder = new ProxyComponents.Builder(loop, config.settings(), engines);
+  private void wire(LongFunction<DecisionEngine> engineFactory) {
+    ProxyComponents.Builder builder =
+        new ProxyComponents.Builder(loop, config.settings(), engineFactory);
     Bootstrap upstreams = upstreamBootstrap(group);
     gossip =
         new GossipChannel(
--- a/src/main/java/loadbalancer/proxy/RequestCompleter.java
+++ b/src/main/java/loadbalancer/proxy/RequestCompleter.java
@@ -58,7 +58,7 @@
   }
 
   /** Gives a request this final response, unless it is completed, and has the engine forget it. */
-  void giveUp(ProxiedRequest request, HttpResponseStatus status) {
+  void fail(ProxiedRequest request, HttpResponseStatus status) {
     if (!request.isCompleted()) {
       respond(request, status, 0);
       clientDisconnected(request);
@@ -68,7 +68,7 @@
   /** Gives every request in flight without a response its final one. */
   void failAll() {
     for (ProxiedRequest request : requests.all()) {
-      giveUp(request, HttpResponseStatus.INTERNAL_SERVER_ERROR);
+      fail(request, HttpResponseStatus.INTERNAL_SERVER_ERROR);
     }
   }
 
--- a/src/main/java/loadbalancer/proxy/RequestDispatcher.java
+++ b/src/main/java/loadbalancer/proxy/RequestDispatcher.java
@@ -25,7 +25,7 @@
    * A request without a response gets one so long after the deadline that the engine knows: the
    * last safeguard against an engine that forgets one.
    */
-  private static final long EXPIRY_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
+  private static final long EXPIRY_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
 
   private final EventLoop loop;
   private final MonotonicClock clock;
@@ -36,7 +36,7 @@
   private final AttemptRunner attempts;
   private final EventQueue events;
   private long acceptedCount;
-  private boolean expired;
+  private boolean isExpired;
 
   RequestDispatcher(
       EventLoop loop,
@@ -61,17 +61,17 @@
   public void accept(DownstreamRequest downstream) {
     ProxiedRequest request =
         new ProxiedRequest(downstream, "r" + acceptedCount++, clock.nowNanos());
-    if (expired) {
+    if (isExpired) {
       completer.respondUnserved(request);
       return;
     }
     requests.add(request);
-    request.expireBy(
+    request.setExpiryTimer(
         loop.schedule(
-            () -> completer.giveUp(request, HttpResponseStatus.GATEWAY_TIMEOUT),
-            request.deadlineNanos() + EXPIRY_NANOS - clock.nowNanos(),
+            () -> completer.fail(request, HttpResponseStatus.GATEWAY_TIMEOUT),
+            request.deadlineNanos() + EXPIRY_DELAY_NANOS - clock.nowNanos(),
             TimeUnit.NANOSECONDS));
-    events.enqueue(() -> request.isCompleted() ? null : request.arrival());
+    events.enqueue(() -> request.isCompleted() ? null : request.arrivalEvent());
   }
 
   @Override
@@ -157,7 +157,7 @@
    * once.
    */
   void expireAll() {
-    expired = true;
+    isExpired = true;
     completer.failAll();
   }
 }
--- a/src/main/java/loadbalancer/proxy/ServeCommand.java
+++ b/src/main/java/loadbalancer/proxy/ServeCommand.java
@@ -23,13 +23,13 @@
 
   private final Map<String, String> environment;
   private final PrintStream err;
-  private final CompletableFuture<ProxyServer> listening = new CompletableFuture<>();
+  private final CompletableFuture<ProxyServer> listeningServer = new CompletableFuture<>();
 
   /**
    * Set by whichever comes first, SIGTERM or the listening: a process that is to end before it
    * listens owes no client anything, and ends at once.
    */
-  private final AtomicBoolean decided = new AtomicBoolean();
+  private final AtomicBoolean isOutcomeDecided = new AtomicBoolean();
 
   private ServeCommand(Map<String, String> environment, PrintStream err) {
     this.environment = environment;
@@ -54,38 +54,39 @@
     // waits until the proxy listens.
     Signal.handle(new Signal("TERM"), signal -> terminate());
     SignalHandler previous =
-        Signal.handle(new Signal("HUP"), signal -> listening.thenAccept(this::reload));
+        Signal.handle(new Signal("HUP"), signal -> listeningServer.thenAccept(this::reload));
     if (previous == SignalHandler.SIG_IGN) {
       watchConfigurationFile();
     }
     try {
       ProxyServer server = ProxyServer.prepare(ConfigurationFile.read(environment));
-      if (!decided.compareAndSet(false, true)) {
+      if (!isOutcomeDecided.compareAndSet(false, true)) {
         return 0;
       }
       server.listen();
-      listening.complete(server);
+      listeningServer.complete(server);
     } catch (IOException | RuntimeException e) {
       err.println("start_failed reason=" + LogValues.quote(BalancerConfig.describeProblem(e)));
       return 1;
     }
-    listening.join().awaitTermination();
+    listeningServer.join().awaitTermination();
     return 0;
   }
 
   private void terminate() {
-    if (decided.compareAndSet(false, true)) {
+    if (isOutcomeDecided.compareAndSet(false, true)) {
       err.println("terminated_before_listening");
       System.exit(0);
     }
-    listening.thenAccept(server -> new Thread(server::shutDownGracefully, "shutdown").start());
+    listeningServer.thenAccept(
+        server -> new Thread(server::shutDownGracefully, "shutdown").start());
   }
 
   private void watchConfigurationFile() {
     String path = environment.get(BalancerConfig.FILE_VARIABLE);
     if (path != null) {
       LOG.warning("sighup_ignored reload=on_file_change");
-      Runnable reload = () -> listening.thenAccept(this::reload);
+      Runnable reload = () -> listeningServer.thenAccept(this::reload);
       new ConfigurationFileWatcher(Path.of(path), reload).start();
     }
   }
--- a/src/main/java/loadbalancer/proxy/TransientFailures.java
+++ b/src/main/java/loadbalancer/proxy/TransientFailures.java
@@ -19,17 +19,17 @@
   private static final Logger LOG = Logger.getLogger(TransientFailures.class.getName());
 
   /** A process that cannot start for so long reports it, for an operator to look. */
-  private static final long MAX_MILLIS = 3000;
+  private static final long MAX_RETRY_MILLIS = 3000;
 
-  private static final long RETRY_MILLIS = 20;
+  private static final long RETRY_INTERVAL_MILLIS = 20;
 
   private TransientFailures() {}
 
   /** A step that can be repeated after it has failed. */
   @FunctionalInterface
-  interface Step<T> {
+  interface Operation<T> {
     /** Takes the step. */
-    T take() throws IOException;
+    T run() throws IOException;
   }
 
   /**
@@ -38,17 +38,17 @@
    * @param event what the log calls a failure
    * @throws IOException the last failure, also if repeating could not help
    */
-  static <T> T retry(String event, Step<T> step) throws IOException {
-    long giveUpAtNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MAX_MILLIS);
+  static <T> T retry(String event, Operation<T> operation) throws IOException {
+    long retryDeadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MAX_RETRY_MILLIS);
     for (int failures = 0; ; failures++) {
       try {
-        T result = step.take();
+        T result = operation.run();
         if (failures > 0) {
           LOG.info(event + " failures=" + failures + " recovered=true");
         }
         return result;
       } catch (IOException | ChannelException | IllegalStateException e) {
-        if (!isTransient(e) || System.nanoTime() >= giveUpAtNanos) {
+        if (!isTransient(e) || System.nanoTime() >= retryDeadlineNanos) {
           throw e;
         }
         if (failures == 0) {
@@ -65,7 +65,7 @@
 
   private static void pause() throws IOException {
     try {
-      TimeUnit.MILLISECONDS.sleep(RETRY_MILLIS);
+      TimeUnit.MILLISECONDS.sleep(RETRY_INTERVAL_MILLIS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       throw new InterruptedIOException("interrupted between two tries");
--- a/src/main/java/loadbalancer/proxy/WarmUp.java
+++ b/src/main/java/loadbalancer/proxy/WarmUp.java
@@ -65,19 +65,19 @@
    * instance of a large fleet has few to serve at first, and when most are restarted at once
    * clients wait for the first to be ready.
    */
-  private static final double SECONDS_OF_TRAFFIC = 0.6;
+  private static final double TRAFFIC_SECONDS = 0.6;
 
   /**
    * Connections that send requests at the same time, as in service: a single one would find its
    * upstream connection still resting, and open a new one each time.
    */
-  private static final int CLIENTS = 16;
+  private static final int CLIENT_CONNECTIONS = 16;
 
-  private static final int ENDPOINTS = 4;
+  private static final int ENDPOINT_COUNT = 4;
   private static final long UPSTREAM_IDLE_NANOS = TimeUnit.SECONDS.toNanos(1);
 
   /** Bounds a start on a machine that is far slower than any seen. */
-  private static final long MAX_MILLIS = 5000;
+  private static final long MAX_DURATION_MILLIS = 5000;
 
   private WarmUp() {}
 
@@ -88,14 +88,14 @@
    * @param answered requests that got a response
    * @param served requests whose response was 200
    */
-  record Count(int sent, int answered, int served) {}
+  record Result(int sent, int answered, int served) {}
 
   /** Blocks until the warm-up is over; not for an event loop. */
   static void run(Settings settings) {
-    Count count = run(settings, MAX_MILLIS);
+    Result result = run(settings, MAX_DURATION_MILLIS);
     int wanted = requestCount(settings);
-    if (count.answered < wanted) {
-      LOG.info("warm_up_cut_short answered=" + count.answered + " wanted=" + wanted);
+    if (result.answered < wanted) {
+      LOG.info("warm_up_cut_short answered=" + result.answered + " wanted=" + wanted);
     }
   }
 
@@ -103,17 +103,17 @@
    * How many requests to serve: the most where the settings do not say how much traffic to expect.
    */
   static int requestCount(Settings settings) {
-    double quotas = 0;
+    double totalQuota = 0;
     for (Tenant tenant : settings.tenants()) {
-      quotas += tenant.quotaPerSecond();
+      totalQuota += tenant.quotaPerSecond();
     }
-    double expected =
-        quotas <= 0 ? MAX_REQUESTS : quotas / settings.instanceCount() * SECONDS_OF_TRAFFIC;
-    return (int) Math.max(MIN_REQUESTS, Math.min(MAX_REQUESTS, expected));
+    double expectedRequests =
+        totalQuota <= 0 ? MAX_REQUESTS : totalQuota / settings.instanceCount() * TRAFFIC_SECONDS;
+    return (int) Math.max(MIN_REQUESTS, Math.min(MAX_REQUESTS, expectedRequests));
   }
 
   /** The same with another limit of time. */
-  static Count run(Settings settings, long maxMillis) {
+  static Result run(Settings settings, long maxMillis) {
     EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, LocalIoHandler.newFactory());
     Promise<Void> done = group.next().newPromise();
     WarmUpClient client = new WarmUpClient(settings, requestCount(settings), done);
@@ -126,7 +126,7 @@
       group.submit(client::stop).syncUninterruptibly();
       group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
     }
-    return client.count();
+    return client.result();
   }
 
   private static void start(EventLoopGroup group, Settings settings, WarmUpClient client) {
@@ -153,7 +153,7 @@
 
   private static EndpointList endpoints(String zone, SocketAddress address) {
     List<Member> members = new ArrayList<>();
-    for (int i = 0; i < ENDPOINTS; i++) {
+    for (int i = 0; i < ENDPOINT_COUNT; i++) {
       members.add(new Member("warm-up-" + i, address, zone, 0, EndpointState.READY, 1, 0));
     }
     return new EndpointList(0, true, members);
@@ -166,7 +166,7 @@
             .group(group)
             .channel(LocalChannel.class)
             .handler(new ClientInitializer(client));
-    for (int i = 0; i < CLIENTS; i++) {
+    for (int i = 0; i < CLIENT_CONNECTIONS; i++) {
       bootstrap.connect(address);
     }
   }
--- a/src/main/java/loadbalancer/proxy/WarmUpClient.java
+++ b/src/main/java/loadbalancer/proxy/WarmUpClient.java
@@ -36,7 +36,7 @@
   private int sent;
   private int answered;
   private int served;
-  private boolean stopped;
+  private boolean isStopped;
 
   /**
    * Makes clients that send so many requests in all, of the settings' classes in turn.
@@ -52,12 +52,12 @@
 
   /** Sends nothing more. */
   void stop() {
-    stopped = true;
+    isStopped = true;
   }
 
   /** Final once the event loop has ended. */
-  WarmUp.Count count() {
-    return new WarmUp.Count(sent, answered, served);
+  WarmUp.Result result() {
+    return new WarmUp.Result(sent, answered, served);
   }
 
   @Override
@@ -78,7 +78,7 @@
   }
 
   private void sendNext(ChannelHandlerContext context) {
-    if (stopped || sent == requestCount) {
+    if (isStopped || sent == requestCount) {
       return;
     }
     FullHttpRequest request = request(sent);
--- a/src/test/java/loadbalancer/proxy/AgentWatchTest.java
+++ b/src/test/java/loadbalancer/proxy/AgentWatchTest.java
@@ -32,34 +32,36 @@
 @SuppressWarnings("try") // The proxy runs while its engine is asked.
 class AgentWatchTest {
 
-  private static final long GRACE_MILLIS = 300;
+  private static final long DRAIN_GRACE_MILLIS = 300;
 
   /** What every time limit of the platform grows by on real sockets. */
-  private static final long SLACK_MILLIS = 50;
+  private static final long TOLERANCE_MILLIS = 50;
 
-  private static BalancerConfig pushed(FakeServer discovery, String... members) throws IOException {
+  private static BalancerConfig pushedConfig(FakeServer discovery, String... members)
+      throws IOException {
     return BalancerConfig.parse(
         ProxyFixture.configText(
                 discovery.address(), ProxyFixture.list(1, true, members), "pushed", 200, 1024, "")
             .replace(
                 "\"settings\":{",
                 "\"settings\":{\"contract\":{\"drain-grace-ns\":"
-                    + GRACE_MILLIS * 1_000_000
+                    + DRAIN_GRACE_MILLIS * 1_000_000
                     + "},"),
         Map.of());
   }
 
   /** How a watch ends without an update. */
-  private enum End {
+  private enum WatchEnd {
     CLOSED(c -> {}),
     RESET(FakeServer.Connection::reset),
-    WHOLE(c -> c.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n")),
-    DOWN(c -> c.write("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"));
+    COMPLETE_RESPONSE(
+        c -> c.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n")),
+    UNAVAILABLE(c -> c.write("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"));
 
     @SuppressWarnings("ImmutableEnumChecker") // A script holds no state.
     final FakeServer.Script script;
 
-    End(FakeServer.Script script) {
+    WatchEnd(FakeServer.Script script) {
       this.script = script;
     }
   }
@@ -70,21 +72,21 @@
    */
   @ParameterizedTest
   @CsvSource({"CLOSED", "RESET", "WHOLE", "DOWN"})
-  void learnsOfADrainWithinItsGraceWhenWatchesEndWithoutAnUpdate(End end) throws Exception {
+  void learnsOfADrainWithinItsGraceWhenWatchesEndWithoutAnUpdate(WatchEnd end) throws Exception {
     String first = ProxyFixture.member("s-a", "127.0.0.1:1", "ready");
-    AtomicInteger watches = new AtomicInteger();
-    AtomicLong toldAt = new AtomicLong();
-    CountDownLatch listed = new CountDownLatch(1);
+    AtomicInteger watchCount = new AtomicInteger();
+    AtomicLong drainKnownAt = new AtomicLong();
+    CountDownLatch listDelivered = new CountDownLatch(1);
     ScriptedEngine engine = new ScriptedEngine((event, out) -> {});
     try (FakeServer discovery =
             new FakeServer(
                 c -> {
                   c.readRequest();
-                  int number = watches.incrementAndGet();
+                  int number = watchCount.incrementAndGet();
                   if (number == 1) {
                     c.write(DiscoveryMessages.watchResponse(ProxyFixture.list(2, true, first)));
-                    listed.await();
-                    toldAt.set(System.nanoTime());
+                    listDelivered.await();
+                    drainKnownAt.set(System.nanoTime());
                     end.script.run(c);
                   } else if (number < 5) {
                     end.script.run(c);
@@ -95,15 +97,16 @@
                     c.awaitClose();
                   }
                 });
-        ProxyFixture proxy = new ProxyFixture(pushed(discovery, first), engine)) {
+        ProxyFixture proxy = new ProxyFixture(pushedConfig(discovery, first), engine)) {
       engine.awaitEvent(EndpointListUpdate.class);
       assertEquals(UpdateKind.FULL, engine.awaitEvent(EndpointListUpdate.class).kind());
-      listed.countDown();
-      EndpointListUpdate news = engine.awaitEvent(EndpointListUpdate.class);
+      listDelivered.countDown();
+      EndpointListUpdate update = engine.awaitEvent(EndpointListUpdate.class);
       assertEquals(
-          List.of(EndpointState.DRAINING), news.endpoints().stream().map(e -> e.state()).toList());
-      long millis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - toldAt.get());
-      assertTrue(millis < GRACE_MILLIS + SLACK_MILLIS, "told after " + millis + " ms");
+          List.of(EndpointState.DRAINING),
+          update.endpoints().stream().map(e -> e.state()).toList());
+      long millis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - drainKnownAt.get());
+      assertTrue(millis < DRAIN_GRACE_MILLIS + TOLERANCE_MILLIS, "told after " + millis + " ms");
     }
   }
 
@@ -113,28 +116,28 @@
    */
   @Test
   void waitsLessThanADrainsGraceBetweenCalls() throws Exception {
-    AtomicInteger watches = new AtomicInteger();
-    AtomicLong lastAt = new AtomicLong();
-    AtomicLong longest = new AtomicLong();
-    CountDownLatch enough = new CountDownLatch(20);
+    AtomicInteger watchCount = new AtomicInteger();
+    AtomicLong lastCallAt = new AtomicLong();
+    AtomicLong longestDelay = new AtomicLong();
+    CountDownLatch calls = new CountDownLatch(20);
     try (FakeServer discovery =
             new FakeServer(
                 c -> {
                   long now = System.nanoTime();
-                  if (watches.incrementAndGet() > 1) {
-                    longest.accumulateAndGet(now - lastAt.get(), Math::max);
+                  if (watchCount.incrementAndGet() > 1) {
+                    longestDelay.accumulateAndGet(now - lastCallAt.get(), Math::max);
                   }
-                  lastAt.set(now);
-                  enough.countDown();
+                  lastCallAt.set(now);
+                  calls.countDown();
                   c.reset();
                 });
         ProxyFixture proxy =
             new ProxyFixture(
-                pushed(discovery, ProxyFixture.member("s-a", "127.0.0.1:1", "ready")),
+                pushedConfig(discovery, ProxyFixture.member("s-a", "127.0.0.1:1", "ready")),
                 new ScriptedEngine((event, out) -> {}))) {
-      assertTrue(enough.await(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS));
-      long millis = TimeUnit.NANOSECONDS.toMillis(longest.get());
-      assertTrue(millis < GRACE_MILLIS, "nobody asked for " + millis + " ms");
+      assertTrue(calls.await(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS));
+      long millis = TimeUnit.NANOSECONDS.toMillis(longestDelay.get());
+      assertTrue(millis < DRAIN_GRACE_MILLIS, "nobody asked for " + millis + " ms");
     }
   }
 
@@ -142,24 +145,27 @@
    * Discovery whose first watch lists two endpoints and ends without an update; every later one
    * lists only the first of them.
    */
-  private static FakeServer omitting(String stays, String leaves, CountDownLatch left)
+  private static FakeServer discoveryOmitting(
+      String remainingMember, String omittedMember, CountDownLatch endFirstWatch)
       throws IOException {
-    AtomicInteger watches = new AtomicInteger();
+    AtomicInteger watchCount = new AtomicInteger();
     return new FakeServer(
         c -> {
           c.readRequest();
-          if (watches.incrementAndGet() == 1) {
-            c.write(DiscoveryMessages.watchResponse(ProxyFixture.list(2, true, stays, leaves)));
-            left.await();
+          if (watchCount.incrementAndGet() == 1) {
+            c.write(
+                DiscoveryMessages.watchResponse(
+                    ProxyFixture.list(2, true, remainingMember, omittedMember)));
+            endFirstWatch.await();
           } else {
-            c.write(DiscoveryMessages.watchResponse(ProxyFixture.list(3, true, stays)));
+            c.write(DiscoveryMessages.watchResponse(ProxyFixture.list(3, true, remainingMember)));
             c.awaitClose();
           }
         });
   }
 
   /** Asks with many keys, of which some would go to the endpoint that has left. */
-  private static void assertServedByTheStayingEndpoint(Client client) throws IOException {
+  private static void assertServedByRemainingEndpoint(Client client) throws IOException {
     for (int i = 0; i < 40; i++) {
       String response = client.exchange(ProxyFixture.get("u" + i, "Cookie: sid=" + i + "\r\n"));
       assertTrue(response.endsWith("\r\n\r\nstaying"), response);
@@ -172,39 +178,39 @@
    */
   @Test
   void sendsNothingToAnEndpointThatACompleteListOmits() throws Exception {
-    CountDownLatch left = new CountDownLatch(1);
-    try (FakeServer leaving = FakeServer.respondingWith(FakeServer.ok("leaving"));
-        FakeServer staying = FakeServer.respondingWith(FakeServer.ok("staying"));
+    CountDownLatch endFirstWatch = new CountDownLatch(1);
+    try (FakeServer omitted = FakeServer.respondingWith(FakeServer.ok("leaving"));
+        FakeServer remaining = FakeServer.respondingWith(FakeServer.ok("staying"));
         FakeServer discovery =
-            omitting(
-                ProxyFixture.member("s-stays", staying.address(), "ready"),
-                ProxyFixture.member("s-leaves", leaving.address(), "ready"),
-                left)) {
+            discoveryOmitting(
+                ProxyFixture.member("s-stays", remaining.address(), "ready"),
+                ProxyFixture.member("s-leaves", omitted.address(), "ready"),
+                endFirstWatch)) {
       BalancerConfig config =
-          pushed(discovery, ProxyFixture.member("s-leaves", leaving.address(), "ready"));
-      LoadBalancingEngine logic = new LoadBalancingEngine(config.settings(), config.seed());
-      BlockingQueue<EndpointListUpdate> told = new LinkedBlockingQueue<>();
+          pushedConfig(discovery, ProxyFixture.member("s-leaves", omitted.address(), "ready"));
+      LoadBalancingEngine realEngine = new LoadBalancingEngine(config.settings(), config.seed());
+      BlockingQueue<EndpointListUpdate> updates = new LinkedBlockingQueue<>();
       try (ProxyFixture proxy =
               new ProxyFixture(
                   config,
                   (now, event, out) -> {
-                    logic.handle(now, event, out);
-                    if (event instanceof EndpointListUpdate news) {
-                      told.add(news);
+                    realEngine.handle(now, event, out);
+                    if (event instanceof EndpointListUpdate update) {
+                      updates.add(update);
                     }
                   });
           Client client = proxy.client()) {
-        assertEquals(UpdateKind.CACHED, told.take().kind());
-        assertEquals(UpdateKind.FULL, told.take().kind());
-        for (int i = 0; leaving.requests.isEmpty() || staying.requests.isEmpty(); i++) {
+        assertEquals(UpdateKind.CACHED, updates.take().kind());
+        assertEquals(UpdateKind.FULL, updates.take().kind());
+        for (int i = 0; omitted.requests.isEmpty() || remaining.requests.isEmpty(); i++) {
           client.exchange(ProxyFixture.get("t" + i, "Cookie: sid=" + i + "\r\n"));
         }
-        left.countDown();
+        endFirstWatch.countDown();
         assertEquals(
-            1, told.poll(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS).endpoints().size());
-        leaving.requests.clear();
-        assertServedByTheStayingEndpoint(client);
-        assertTrue(leaving.requests.isEmpty());
+            1, updates.poll(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS).endpoints().size());
+        omitted.requests.clear();
+        assertServedByRemainingEndpoint(client);
+        assertTrue(omitted.requests.isEmpty());
       }
     }
   }
--- a/src/test/java/loadbalancer/proxy/AttemptEndOrderTest.java
+++ b/src/test/java/loadbalancer/proxy/AttemptEndOrderTest.java
@@ -39,32 +39,31 @@
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
 class AttemptEndOrderTest {
 
-  private static final String NOWHERE = "127.0.0.1:1";
+  private static final String UNREACHABLE_ADDRESS = "127.0.0.1:1";
   private static final long TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
   private static final long LONG_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(30);
 
-  private final EventLoopSteps cues = new EventLoopSteps();
+  private final EventLoopSteps steps = new EventLoopSteps();
 
   /**
-   * An upstream whose connections do as they are told; they have done it when {@link #does}
-   * returns.
+   * An upstream whose connections do as they are told; they have done it when {@link #run} returns.
    */
-  private static final class Puppet implements AutoCloseable {
-    private final BlockingQueue<FakeServer.Script> orders = new LinkedBlockingQueue<>();
+  private static final class ControlledUpstream implements AutoCloseable {
+    private final BlockingQueue<FakeServer.Script> scripts = new LinkedBlockingQueue<>();
     private final BlockingQueue<Boolean> done = new LinkedBlockingQueue<>();
     final FakeServer server =
         new FakeServer(
             connection -> {
               while (connection.readRequest() != null) {
-                orders.take().run(connection);
+                scripts.take().run(connection);
                 done.add(true);
               }
             });
 
-    Puppet() throws IOException {}
+    ControlledUpstream() throws IOException {}
 
-    void does(FakeServer.Script order) {
-      orders.add(order);
+    void run(FakeServer.Script script) {
+      scripts.add(script);
       try {
         assertNotNull(done.poll(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS));
       } catch (InterruptedException e) {
@@ -87,7 +86,7 @@
   }
 
   /** The two ends of an attempt, in the order of the name, and the status to be reported. */
-  private enum Ends {
+  private enum OutcomePair {
     CANCEL_THEN_RESPONSE(AttemptStatus.CANCELLED, AttemptEndOrderTest::respond),
     CANCEL_THEN_RESET(AttemptStatus.CANCELLED, FakeServer.Connection::reset),
     RESPONSE_THEN_CANCEL(AttemptStatus.SUCCESS, AttemptEndOrderTest::respond),
@@ -108,12 +107,12 @@
     @SuppressWarnings("ImmutableEnumChecker") // A script holds no state.
     final FakeServer.Script upstream;
 
-    Ends(AttemptStatus status, FakeServer.Script upstream) {
+    OutcomePair(AttemptStatus status, FakeServer.Script upstream) {
       this.status = status;
       this.upstream = upstream;
     }
 
-    boolean timesOut() {
+    boolean hasTimeout() {
       return name().contains("TIMEOUT");
     }
   }
@@ -123,41 +122,42 @@
    *
    * @param second sends the second cue where there are two
    */
-  private void addCues(Ends ends, Puppet upstream, Client second) {
-    switch (ends) {
+  private void addSteps(
+      OutcomePair outcomes, ControlledUpstream upstream, Client secondTriggerClient) {
+    switch (outcomes) {
       case CANCEL_THEN_RESPONSE, CANCEL_THEN_RESET ->
           // Decided while the other end is in the kernel, and not read yet.
-          cues.add(
+          steps.add(
               actions -> {
-                upstream.does(ends.upstream);
+                upstream.run(outcomes.upstream);
                 actions.accept(new CancelAttempt("r0", 0));
               });
       case RESPONSE_THEN_CANCEL, RESET_THEN_CANCEL -> {
         // Both are read before the engine gets either: the cancellation comes with the second cue.
-        cues.add(
+        steps.add(
             actions -> {
-              upstream.does(ends.upstream);
-              write(second, ProxyFixture.get("cue-2", EventLoopSteps.TRIGGER_HEADER));
+              upstream.run(outcomes.upstream);
+              write(secondTriggerClient, ProxyFixture.get("cue-2", EventLoopSteps.TRIGGER_HEADER));
             });
-        cues.add(actions -> actions.accept(new CancelAttempt("r0", 0)));
+        steps.add(actions -> actions.accept(new CancelAttempt("r0", 0)));
       }
       case RESPONSE_THEN_TIMEOUT, RESET_THEN_TIMEOUT ->
           // The time is up as well when the loop goes on, and it reads its sockets first.
-          cues.add(
+          steps.add(
               actions -> {
-                upstream.does(ends.upstream);
+                upstream.run(outcomes.upstream);
                 passTimeout();
               });
       case TIMEOUT_THEN_RESPONSE, TIMEOUT_THEN_RESET -> {
         // The time is up at the second cue, in the same turn and after all sockets have been read.
-        cues.add(
+        steps.add(
             actions -> {
               passTimeout();
-              write(second, ProxyFixture.get("cue-2", EventLoopSteps.TRIGGER_HEADER));
+              write(secondTriggerClient, ProxyFixture.get("cue-2", EventLoopSteps.TRIGGER_HEADER));
             });
-        cues.add(actions -> upstream.does(ends.upstream));
+        steps.add(actions -> upstream.run(outcomes.upstream));
       }
-      case RESPONSE_THEN_RESET -> cues.add(actions -> upstream.does(ends.upstream));
+      case RESPONSE_THEN_RESET -> steps.add(actions -> upstream.run(outcomes.upstream));
       default -> throw new IllegalStateException();
     }
   }
@@ -174,34 +174,35 @@
     }
   }
 
-  private static String known(FakeServer upstream) {
+  private static String endpointList(FakeServer upstream) {
     return ProxyFixture.list(1, true, ProxyFixture.member("s-1", upstream.address(), "ready"));
   }
 
   @ParameterizedTest
-  @EnumSource(Ends.class)
-  void reportsTheFirstOfTwoEndsOfAnAttempt(Ends ends) throws Exception {
+  @EnumSource(OutcomePair.class)
+  void reportsTheFirstOfTwoEndsOfAnAttempt(OutcomePair outcomes) throws Exception {
     ScriptedEngine engine =
-        cues.engine("s-1", ends.timesOut() ? TIMEOUT_NANOS : LONG_TIMEOUT_NANOS);
-    try (Puppet upstream = new Puppet();
+        steps.engine("s-1", outcomes.hasTimeout() ? TIMEOUT_NANOS : LONG_TIMEOUT_NANOS);
+    try (ControlledUpstream upstream = new ControlledUpstream();
         ProxyFixture proxy =
-            new ProxyFixture(ProxyFixture.config(NOWHERE, known(upstream.server)), engine);
+            new ProxyFixture(
+                ProxyFixture.config(UNREACHABLE_ADDRESS, endpointList(upstream.server)), engine);
         Client client = proxy.client();
-        Client cue = proxy.client();
-        Client second = proxy.client()) {
-      addCues(ends, upstream, second);
+        Client triggerClient = proxy.client();
+        Client secondTriggerClient = proxy.client()) {
+      addSteps(outcomes, upstream, secondTriggerClient);
       client.write(ProxyFixture.get("t", ""));
       upstream.awaitRequest();
-      cue.exchange(ProxyFixture.get("cue-1", EventLoopSteps.TRIGGER_HEADER));
+      triggerClient.exchange(ProxyFixture.get("cue-1", EventLoopSteps.TRIGGER_HEADER));
       AttemptEnded first = engine.awaitEvent(AttemptEnded.class);
-      assertEquals(ends.status, first.status());
+      assertEquals(outcomes.status, first.status());
       String response = client.readResponse();
-      boolean succeeds = ends.status == AttemptStatus.SUCCESS;
-      assertTrue(response.startsWith(succeeds ? "HTTP/1.1 200 " : "HTTP/1.1 502 "), response);
+      boolean isSuccess = outcomes.status == AttemptStatus.SUCCESS;
+      assertTrue(response.startsWith(isSuccess ? "HTTP/1.1 200 " : "HTTP/1.1 502 "), response);
       // And the next request gets its own response, on whatever connection.
       client.write(ProxyFixture.get("t2", ""));
       upstream.awaitRequest();
-      upstream.does(connection -> connection.write(FakeServer.ok("second")));
+      upstream.run(connection -> connection.write(FakeServer.ok("second")));
       assertTrue(client.readResponse().endsWith("\r\n\r\nsecond"), "its own response");
       assertNotEquals(
           first.requestId(),
@@ -216,7 +217,7 @@
    */
   @Test
   void reportsAResetBeforeTheLastByteWasReadAsReset() throws Exception {
-    ScriptedEngine engine = cues.engine("s-1", LONG_TIMEOUT_NANOS);
+    ScriptedEngine engine = steps.engine("s-1", LONG_TIMEOUT_NANOS);
     String body = "x".repeat(1000);
     try (FakeServer upstream =
             new FakeServer(
@@ -225,7 +226,8 @@
                   connection.reset();
                 });
         ProxyFixture proxy =
-            new ProxyFixture(ProxyFixture.config(NOWHERE, known(upstream)), engine);
+            new ProxyFixture(
+                ProxyFixture.config(UNREACHABLE_ADDRESS, endpointList(upstream)), engine);
         Client client = proxy.client()) {
       String response = client.exchange(ProxyFixture.post("t", "Idempotency-Key: k\r\n", body));
       assertTrue(response.startsWith("HTTP/1.1 502 "));
@@ -237,7 +239,7 @@
   /**
    * An upstream whose first process vanishes after one response: no more comes, not even an end.
    */
-  private static FakeServer restarting() throws IOException {
+  private static FakeServer restartingUpstream() throws IOException {
     AtomicInteger connections = new AtomicInteger();
     return new FakeServer(
         connection -> {
@@ -253,35 +255,38 @@
   /**
    * Discovery that tells of the upstream's restart.
    *
-   * @param back the name that it comes back under
-   * @param before what becomes of {@code s-1} first: gone, or ready and restarted
+   * @param newName the name that it comes back under
+   * @param firstState what becomes of {@code s-1} first: gone, or ready and restarted
    */
   private static FakeServer discovery(
-      FakeServer upstream, String back, String before, CountDownLatch restarted)
+      FakeServer upstream, String newName, String firstState, CountDownLatch restarted)
       throws IOException {
     return new FakeServer(
         connection -> {
           connection.readRequest();
           restarted.await();
-          String now =
-              ProxyFixture.member(back, upstream.address(), "ready")
+          String restartedMember =
+              ProxyFixture.member(newName, upstream.address(), "ready")
                   .replace("\"up_since_ms\":0", "\"up_since_ms\":" + System.currentTimeMillis());
-          String change =
-              before.equals("ready") ? now : ProxyFixture.member("s-1", upstream.address(), before);
-          connection.write(DiscoveryMessages.watchResponse(ProxyFixture.list(2, false, change)));
-          connection.write(DiscoveryMessages.chunk(ProxyFixture.list(3, false, now)));
+          String firstUpdate =
+              firstState.equals("ready")
+                  ? restartedMember
+                  : ProxyFixture.member("s-1", upstream.address(), firstState);
+          connection.write(
+              DiscoveryMessages.watchResponse(ProxyFixture.list(2, false, firstUpdate)));
+          connection.write(DiscoveryMessages.chunk(ProxyFixture.list(3, false, restartedMember)));
           connection.awaitClose();
         });
   }
 
   /** Has discovery watched, and starts attempts at {@code s-1} until the restart. */
-  private static ScriptedEngine followingRestart(String back, CountDownLatch restarted) {
+  private static ScriptedEngine engineFollowingRestart(String newName, CountDownLatch restarted) {
     return new ScriptedEngine(
         (event, actions) -> {
           if (event instanceof EndpointListUpdate update && update.kind() == UpdateKind.CACHED) {
             actions.accept(new WatchEndpoints(true));
           } else if (event instanceof RequestArrived request) {
-            String endpoint = restarted.getCount() > 0 ? "s-1" : back;
+            String endpoint = restarted.getCount() > 0 ? "s-1" : newName;
             actions.accept(
                 new StartAttempt(request.requestId(), DiscoveryMessages.endpointId(endpoint), 0));
           }
@@ -291,13 +296,14 @@
   /** How an upstream comes back at the address of one that was there before. */
   @ParameterizedTest
   @CsvSource({"s-1,gone", "s-1,ready", "s-2,gone"})
-  void opensANewConnectionToARestartedUpstream(String back, String before) throws Exception {
+  void opensANewConnectionToARestartedUpstream(String newName, String firstState) throws Exception {
     CountDownLatch restarted = new CountDownLatch(1);
-    ScriptedEngine engine = followingRestart(back, restarted);
-    try (FakeServer upstream = restarting();
-        FakeServer discovery = discovery(upstream, back, before, restarted);
+    ScriptedEngine engine = engineFollowingRestart(newName, restarted);
+    try (FakeServer upstream = restartingUpstream();
+        FakeServer discovery = discovery(upstream, newName, firstState, restarted);
         ProxyFixture proxy =
-            new ProxyFixture(ProxyFixture.config(discovery.address(), known(upstream)), engine);
+            new ProxyFixture(
+                ProxyFixture.config(discovery.address(), endpointList(upstream)), engine);
         Client client = proxy.client()) {
       assertTrue(client.exchange(ProxyFixture.get("t1", "")).endsWith("\r\n\r\nbefore"));
       EventLoopSteps.sleep(50); // The connection has rested long enough to be used again.
--- a/src/test/java/loadbalancer/proxy/BrokenConnectionTest.java
+++ b/src/test/java/loadbalancer/proxy/BrokenConnectionTest.java
@@ -33,12 +33,12 @@
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
 class BrokenConnectionTest {
 
-  private static final String NOWHERE = "127.0.0.1:1";
-  private static final long LONG = TimeUnit.SECONDS.toNanos(30);
+  private static final String UNREACHABLE_ADDRESS = "127.0.0.1:1";
+  private static final long LONG_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(30);
 
-  private static BalancerConfig one(FakeServer upstream) throws IOException {
+  private static BalancerConfig singleEndpointConfig(FakeServer upstream) throws IOException {
     return ProxyFixture.config(
-        NOWHERE,
+        UNREACHABLE_ADDRESS,
         ProxyFixture.list(1, true, ProxyFixture.member("s-1", upstream.address(), "ready")));
   }
 
@@ -55,23 +55,23 @@
         "HTTP/1.1 200 OK~Content-Length: 20~~part",
         "HTTP/1.1 200 OK~Transfer-Encoding: chunked~~4~part~"
       })
-  void doesNotForwardAResponseThatIsResetOnTheWay(String begun) throws Exception {
-    ScriptedEngine engine = new ScriptedEngine(LONG);
-    CountDownLatch read = new CountDownLatch(1);
-    CountDownLatch written = new CountDownLatch(1);
+  void doesNotForwardAResponseThatIsResetOnTheWay(String partialResponse) throws Exception {
+    ScriptedEngine engine = new ScriptedEngine(LONG_TIMEOUT_NANOS);
+    CountDownLatch partialResponseRead = new CountDownLatch(1);
+    CountDownLatch partialResponseWritten = new CountDownLatch(1);
     try (FakeServer upstream =
             new FakeServer(
                 c -> {
                   c.readRequest();
-                  c.write(begun.replace("~", "\r\n"));
-                  written.countDown();
-                  read.await();
+                  c.write(partialResponse.replace("~", "\r\n"));
+                  partialResponseWritten.countDown();
+                  partialResponseRead.await();
                   c.reset();
                 });
-        ProxyFixture proxy = new ProxyFixture(one(upstream), engine);
+        ProxyFixture proxy = new ProxyFixture(singleEndpointConfig(upstream), engine);
         Client client = proxy.client()) {
       client.write(ProxyFixture.get("t", ""));
-      written.await();
+      partialResponseWritten.await();
       for (int i = 0; i < 2; i++) {
         try (Client other = proxy.client()) {
           other.exchange(
@@ -79,9 +79,9 @@
           // what was written.
         }
       }
-      read.countDown();
-      String answer = client.readResponse();
-      assertTrue(answer.startsWith("HTTP/1.1 502 ") && !answer.contains("part"), answer);
+      partialResponseRead.countDown();
+      String response = client.readResponse();
+      assertTrue(response.startsWith("HTTP/1.1 502 ") && !response.contains("part"), response);
       assertEquals(AttemptStatus.RESET, engine.awaitEvent(AttemptEnded.class).status());
     }
   }
@@ -91,8 +91,8 @@
    */
   @Test
   void replacesAConnectionThatWasResetWhileIdle() throws Exception {
-    ScriptedEngine engine = new ScriptedEngine(LONG);
-    CountDownLatch cue = new CountDownLatch(1);
+    ScriptedEngine engine = new ScriptedEngine(LONG_TIMEOUT_NANOS);
+    CountDownLatch resetAllowed = new CountDownLatch(1);
     AtomicInteger connections = new AtomicInteger();
     try (FakeServer upstream =
             new FakeServer(
@@ -103,19 +103,19 @@
                       request = c.readRequest()) {
                     c.write(FakeServer.ok("x"));
                     if (first) {
-                      cue.await();
+                      resetAllowed.await();
                       c.reset();
                       return;
                     }
                   }
                 });
-        ProxyFixture proxy = new ProxyFixture(one(upstream), engine);
+        ProxyFixture proxy = new ProxyFixture(singleEndpointConfig(upstream), engine);
         Client client = proxy.client()) {
       assertTrue(client.exchange(ProxyFixture.get("t1", "")).startsWith("HTTP/1.1 200 "));
       Thread.sleep(50); // It has rested for long enough to be used again.
-      FakeServer.Connection resting = upstream.connections.take();
-      cue.countDown();
-      assertTrue(resting.awaitScriptEnd());
+      FakeServer.Connection idleConnection = upstream.connections.take();
+      resetAllowed.countDown();
+      assertTrue(idleConnection.awaitScriptEnd());
       assertTrue(client.exchange(ProxyFixture.get("t2", "")).startsWith("HTTP/1.1 200 "));
       for (int i = 0; i < 2; i++) {
         assertEquals(AttemptStatus.SUCCESS, engine.awaitEvent(AttemptEnded.class).status());
--- a/src/test/java/loadbalancer/proxy/ClientFloodTest.java
+++ b/src/test/java/loadbalancer/proxy/ClientFloodTest.java
@@ -25,16 +25,17 @@
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
 class ClientFloodTest {
 
-  private static final String NOWHERE = "127.0.0.1:1";
-  private static final long LONG = TimeUnit.SECONDS.toNanos(30);
-  private static final String HEALTH = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
-  private static final String END = "Connection: close\r\n";
-  private static final int MANY = 10_000;
+  private static final String UNREACHABLE_ADDRESS = "127.0.0.1:1";
+  private static final long LONG_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(30);
+  private static final String HEALTH_REQUEST = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
+  private static final String CLOSE_HEADER = "Connection: close\r\n";
+  private static final int FLOOD_REQUESTS = 10_000;
 
-  private static BalancerConfig one(FakeServer upstream, String memoryMb) throws IOException {
+  private static BalancerConfig singleEndpointConfig(FakeServer upstream, String memoryMb)
+      throws IOException {
     return BalancerConfig.parse(
         ProxyFixture.configText(
-                NOWHERE,
+                UNREACHABLE_ADDRESS,
                 ProxyFixture.list(1, true, ProxyFixture.member("s-1", upstream.address(), "ready")),
                 "on_request",
                 200,
@@ -45,7 +46,7 @@
   }
 
   /** Writes it beside the test: nobody may be reading it any more. */
-  private static Thread writing(Client client, String text) {
+  private static Thread writeInBackground(Client client, String text) {
     Thread thread =
         new Thread(
             () -> {
@@ -60,22 +61,24 @@
     return thread;
   }
 
-  private static List<String> answers(Client client) {
-    List<String> answers = new ArrayList<>();
+  private static List<String> readAllResponses(Client client) {
+    List<String> responses = new ArrayList<>();
     try {
-      for (String answer = client.readResponse(); answer != null; answer = client.readResponse()) {
-        answers.add(answer);
+      for (String response = client.readResponse();
+          response != null;
+          response = client.readResponse()) {
+        responses.add(response);
       }
     } catch (IOException e) {
       // Cut off while it went on sending: what came before counts.
     }
-    return answers;
+    return responses;
   }
 
-  private static String many(String form) {
+  private static String repeatRequest(String template) {
     StringBuilder text = new StringBuilder();
-    for (int i = 0; i < MANY; i++) {
-      text.append(form.replace("ID", "t" + i));
+    for (int i = 0; i < FLOOD_REQUESTS; i++) {
+      text.append(template.replace("ID", "t" + i));
     }
     return text.toString();
   }
@@ -93,7 +96,7 @@
         "GET /api HTTP/1.1~~",
         "~~"
       })
-  void servesOtherClientsDuringAFlood(String form) throws Exception {
+  void servesOtherClientsDuringAFlood(String template) throws Exception {
     CountDownLatch done = new CountDownLatch(1);
     try (FakeServer upstream =
             new FakeServer(
@@ -107,18 +110,22 @@
                     c.write(FakeServer.ok("x"));
                   }
                 });
-        ProxyFixture proxy = new ProxyFixture(one(upstream, "192"), new ScriptedEngine(LONG));
+        ProxyFixture proxy =
+            new ProxyFixture(
+                singleEndpointConfig(upstream, "192"), new ScriptedEngine(LONG_TIMEOUT_NANOS));
         Client flooding = proxy.client();
         Client good = proxy.client()) {
-      writing(
+      writeInBackground(
           flooding,
-          many(form.replace("~", "\r\n")) + HEALTH.replace("\r\n\r\n", "\r\n" + END + "\r\n"));
+          repeatRequest(template.replace("~", "\r\n"))
+              + HEALTH_REQUEST.replace("\r\n\r\n", "\r\n" + CLOSE_HEADER + "\r\n"));
       for (int i = 0; i < 20; i++) {
         assertTrue(good.exchange(ProxyFixture.get("good" + i, "")).startsWith("HTTP/1.1 200 "));
       }
       done.countDown();
-      for (String answer : answers(flooding)) {
-        assertTrue(answer.startsWith("HTTP/1.1 200 ") || answer.startsWith("HTTP/1.1 4"), answer);
+      for (String response : readAllResponses(flooding)) {
+        assertTrue(
+            response.startsWith("HTTP/1.1 200 ") || response.startsWith("HTTP/1.1 4"), response);
       }
       assertTrue(good.exchange(ProxyFixture.get("good", "")).startsWith("HTTP/1.1 200 "));
     }
@@ -143,23 +150,25 @@
                     c.write(FakeServer.ok("x"));
                   }
                 });
-        ProxyFixture proxy = new ProxyFixture(one(upstream, "192"), new ScriptedEngine(LONG));
+        ProxyFixture proxy =
+            new ProxyFixture(
+                singleEndpointConfig(upstream, "192"), new ScriptedEngine(LONG_TIMEOUT_NANOS));
         Client good = proxy.client()) {
       for (int i = 0; i < 40; i++) {
-        try (Client going = proxy.client()) {
-          StringBuilder much = new StringBuilder();
+        try (Client disconnecting = proxy.client()) {
+          StringBuilder requests = new StringBuilder();
           for (int j = 0; j < 200; j++) {
-            much.append(ProxyFixture.get("t" + i + "-" + j, ""));
+            requests.append(ProxyFixture.get("t" + i + "-" + j, ""));
           }
-          going.write(much.toString());
+          disconnecting.write(requests.toString());
           if (i % 2 == 0) {
-            going.socket.setSoLinger(true, 0);
+            disconnecting.socket.setSoLinger(true, 0);
           }
         }
       }
       done.countDown();
       while (proxy.server.listener().connectionCount() > 1) {
-        assertTrue(good.exchange(HEALTH).startsWith("HTTP/1.1 200 "));
+        assertTrue(good.exchange(HEALTH_REQUEST).startsWith("HTTP/1.1 200 "));
       }
       assertTrue(good.exchange(ProxyFixture.get("good", "")).startsWith("HTTP/1.1 200 "));
     }
@@ -181,27 +190,31 @@
                     c.write(FakeServer.ok("x"));
                   }
                 });
-        ProxyFixture proxy = new ProxyFixture(one(upstream, "1"), new ScriptedEngine(LONG));
+        ProxyFixture proxy =
+            new ProxyFixture(
+                singleEndpointConfig(upstream, "1"), new ScriptedEngine(LONG_TIMEOUT_NANOS));
         Client client = proxy.client();
         Client other = proxy.client()) {
       client.write(ProxyFixture.get("first", ""));
       assertNotNull(upstream.requests.poll(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS));
-      StringBuilder much = new StringBuilder();
+      StringBuilder requests = new StringBuilder();
       for (int i = 0; i < sent; i++) {
-        much.append(
+        requests.append(
             ProxyFixture.get(
-                "t" + i, "X-Long: " + "x".repeat(7000) + "\r\n" + (i < sent - 1 ? "" : END)));
+                "t" + i,
+                "X-Long: " + "x".repeat(7000) + "\r\n" + (i < sent - 1 ? "" : CLOSE_HEADER)));
       }
-      client.write(much.toString()); // It is read, whether or not it is held.
+      client.write(requests.toString()); // It is read, whether or not it is held.
       for (int i = 0; i < 20; i++) {
         other.exchange(
-            HEALTH); // Each answer takes a look at all sockets: all that was sent has been read.
+            HEALTH_REQUEST); // Each answer takes a look at all sockets: all that was sent has been
+        // read.
       }
       done.countDown();
-      List<String> answers = answers(client);
-      long served = answers.stream().filter(a -> a.startsWith("HTTP/1.1 200 ")).count();
+      List<String> responses = readAllResponses(client);
+      long served = responses.stream().filter(a -> a.startsWith("HTTP/1.1 200 ")).count();
       assertTrue(served < sent, "of 140 KB in heads, with room for 64, all were held: " + served);
-      assertTrue(answers.get(0).startsWith("HTTP/1.1 200 "));
+      assertTrue(responses.get(0).startsWith("HTTP/1.1 200 "));
       assertTrue(
           other.exchange(ProxyFixture.get("good", "")).startsWith("HTTP/1.1 200 "),
           "and there is room again");
@@ -215,18 +228,18 @@
   @Test
   void timesOutAPartialRequestBehindACompleteOne() throws Exception {
     try (ProxyFixture proxy =
-            new ProxyFixture(ProxyFixture.config(NOWHERE, ProxyFixture.list(1, true)));
+            new ProxyFixture(ProxyFixture.config(UNREACHABLE_ADDRESS, ProxyFixture.list(1, true)));
         Client client = proxy.client()) {
-      long from = System.nanoTime();
-      client.write(HEALTH + "GET /api HT");
+      long startNanos = System.nanoTime();
+      client.write(HEALTH_REQUEST + "GET /api HT");
       assertTrue(client.readResponse().startsWith("HTTP/1.1 503 "));
-      String answer = client.readResponse();
-      assertNotNull(answer, "closed without a word");
-      assertTrue(answer.startsWith("HTTP/1.1 408 "), answer);
+      String response = client.readResponse();
+      assertNotNull(response, "closed without a word");
+      assertTrue(response.startsWith("HTTP/1.1 408 "), response);
       assertNull(client.readResponse());
       assertEquals(
           0,
-          TimeUnit.NANOSECONDS.toSeconds(System.nanoTime() - from) / 10,
+          TimeUnit.NANOSECONDS.toSeconds(System.nanoTime() - startNanos) / 10,
           "in seconds, not in a minute");
     }
   }
--- a/src/test/java/loadbalancer/proxy/ConnectionCloseTest.java
+++ b/src/test/java/loadbalancer/proxy/ConnectionCloseTest.java
@@ -42,10 +42,10 @@
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
 class ConnectionCloseTest {
 
-  private static final String NOWHERE = "127.0.0.1:1";
-  private static final long LONG = TimeUnit.SECONDS.toNanos(30);
-  private static final String HEALTH = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
-  private static final String CUE = "X-Size-Hint: 7\r\n";
+  private static final String UNREACHABLE_ADDRESS = "127.0.0.1:1";
+  private static final long LONG_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(30);
+  private static final String HEALTH_REQUEST = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
+  private static final String TRIGGER_HEADER = "X-Size-Hint: 7\r\n";
 
   private static void write(Client client, String text) {
     try {
@@ -63,30 +63,34 @@
   @CsvSource(
       delimiter = '|',
       value = {"true | GET /api HT", "false | GET /api HT", "true | WHOLE"})
-  void discardsInputAfterTheLastResponse(boolean askedByTheClient, String unread) throws Exception {
+  void discardsInputAfterTheLastResponse(boolean closeRequestedByClient, String unread)
+      throws Exception {
     AtomicReference<ProxyFixture> started = new AtomicReference<>();
-    AtomicReference<Client> asking = new AtomicReference<>();
-    String more = unread.equals("WHOLE") ? ProxyFixture.get("crossing", "") : unread;
+    AtomicReference<Client> requestingClient = new AtomicReference<>();
+    String unreadInput = unread.equals("WHOLE") ? ProxyFixture.get("crossing", "") : unread;
     ScriptedEngine engine =
         new ScriptedEngine(
             (event, out) -> {
               if (event instanceof RequestArrived arrived) {
-                if (!askedByTheClient) {
+                if (!closeRequestedByClient) {
                   started.get().server.listener().closeIdleConnections();
                 }
-                write(asking.get(), more);
+                write(requestingClient.get(), unreadInput);
                 out.accept(new RejectRequest(arrived.requestId(), 0));
               }
             });
     try (ProxyFixture proxy =
-            new ProxyFixture(ProxyFixture.config(NOWHERE, ProxyFixture.list(1, true)), engine);
+            new ProxyFixture(
+                ProxyFixture.config(UNREACHABLE_ADDRESS, ProxyFixture.list(1, true)), engine);
         Client client = proxy.client()) {
       started.set(proxy);
-      asking.set(client);
-      String answer =
-          client.exchange(ProxyFixture.get("t", askedByTheClient ? "Connection: close\r\n" : ""));
+      requestingClient.set(client);
+      String response =
+          client.exchange(
+              ProxyFixture.get("t", closeRequestedByClient ? "Connection: close\r\n" : ""));
       assertTrue(
-          answer.startsWith("HTTP/1.1 429 ") && answer.contains("connection: close\r\n"), answer);
+          response.startsWith("HTTP/1.1 429 ") && response.contains("connection: close\r\n"),
+          response);
       assertNull(client.readResponse(), "the end of the stream");
       engine.awaitEvent(RequestArrived.class);
       assertTrue(
@@ -99,23 +103,24 @@
   @Test
   void respondsToARequestThatArrivesBeforeTheLastResponseOfAShutdown() throws Exception {
     AtomicReference<ProxyFixture> started = new AtomicReference<>();
-    AtomicReference<Client> asking = new AtomicReference<>();
+    AtomicReference<Client> requestingClient = new AtomicReference<>();
     ScriptedEngine engine =
         new ScriptedEngine(
             (event, out) -> {
               if (event instanceof RequestArrived arrived) {
-                if (asking.get() != null) {
+                if (requestingClient.get() != null) {
                   started.get().server.listener().closeIdleConnections();
-                  write(asking.getAndSet(null), ProxyFixture.get("crossing", ""));
+                  write(requestingClient.getAndSet(null), ProxyFixture.get("crossing", ""));
                 }
                 out.accept(new RejectRequest(arrived.requestId(), 0));
               }
             });
     try (ProxyFixture proxy =
-            new ProxyFixture(ProxyFixture.config(NOWHERE, ProxyFixture.list(1, true)), engine);
+            new ProxyFixture(
+                ProxyFixture.config(UNREACHABLE_ADDRESS, ProxyFixture.list(1, true)), engine);
         Client client = proxy.client()) {
       started.set(proxy);
-      asking.set(client);
+      requestingClient.set(client);
       String first = client.exchange(ProxyFixture.get("t", ""));
       assertTrue(first.startsWith("HTTP/1.1 429 "), first);
       assertFalse(first.contains("connection: close\r\n"), first);
@@ -130,16 +135,17 @@
    * An engine that forwards the request, closing idle connections first where the client did not
    * ask for the close, and writes more input in the turn in which the response was written.
    */
-  private static ScriptedEngine forwardingThenWriting(
-      Socket client, AtomicReference<ProxyFixture> started, boolean askedByTheClient) {
+  private static ScriptedEngine engineForwardingThenWriting(
+      Socket client, AtomicReference<ProxyFixture> started, boolean closeRequestedByClient) {
     return new ScriptedEngine(
         (event, out) -> {
           if (event instanceof RequestArrived arrived) {
-            if (!askedByTheClient) {
+            if (!closeRequestedByClient) {
               started.get().server.listener().closeIdleConnections();
             }
             out.accept(
-                new StartAttempt(arrived.requestId(), DiscoveryMessages.endpointId("s-1"), LONG));
+                new StartAttempt(
+                    arrived.requestId(), DiscoveryMessages.endpointId("s-1"), LONG_TIMEOUT_NANOS));
           } else if (event instanceof AttemptEnded ended && ended.isRequestAnswered()) {
             // In the turn in which the response was written, and after that.
             try {
@@ -158,16 +164,16 @@
    */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void doesNotResetTheTailOfTheLastResponse(boolean askedByTheClient) throws Exception {
+  void doesNotResetTheTailOfTheLastResponse(boolean closeRequestedByClient) throws Exception {
     String body = "b".repeat(HttpProtocol.MAX_BODY_BYTES);
     AtomicReference<ProxyFixture> started = new AtomicReference<>();
     try (FakeServer upstream = FakeServer.respondingWith(FakeServer.ok(body));
         Socket client = new Socket()) {
-      ScriptedEngine engine = forwardingThenWriting(client, started, askedByTheClient);
+      ScriptedEngine engine = engineForwardingThenWriting(client, started, closeRequestedByClient);
       try (ProxyFixture proxy =
           new ProxyFixture(
               ProxyFixture.config(
-                  NOWHERE,
+                  UNREACHABLE_ADDRESS,
                   ProxyFixture.list(
                       1, true, ProxyFixture.member("s-1", upstream.address(), "ready"))),
               engine)) {
@@ -178,34 +184,35 @@
         client
             .getOutputStream()
             .write(
-                ProxyFixture.get("t", askedByTheClient ? "Connection: close\r\n" : "")
+                ProxyFixture.get("t", closeRequestedByClient ? "Connection: close\r\n" : "")
                     .getBytes(StandardCharsets.ISO_8859_1));
         engine.awaitEvent(AttemptEnded.class);
         for (int i = 0; i < 2; i++) {
           try (Client other = proxy.client()) {
-            other.exchange(HEALTH); // Some turns later: a close in an earlier turn is complete.
+            other.exchange(
+                HEALTH_REQUEST); // Some turns later: a close in an earlier turn is complete.
           }
         }
         InputStream in = new BufferedInputStream(client.getInputStream());
-        String answer = FakeServer.MessageReader.read(in);
+        String response = FakeServer.MessageReader.read(in);
         assertTrue(
-            answer.startsWith("HTTP/1.1 200 ") && answer.endsWith("\r\n\r\n" + body), "whole");
+            response.startsWith("HTTP/1.1 200 ") && response.endsWith("\r\n\r\n" + body), "whole");
         assertEquals(-1, in.read(), "and then the end");
       }
     }
   }
 
   /** What arrives on an idle upstream connection in the event loop turn in which it is reused. */
-  private enum Late {
-    HALF_A_LINE(c -> c.write("HTTP/1.1 20")),
-    A_LINE(c -> c.write("HTTP/1.1 200 OK\r\n")),
-    A_SECOND_ANSWER(c -> c.write(FakeServer.ok("surplus"))),
-    A_RESET(FakeServer.Connection::reset);
+  private enum LateInput {
+    PARTIAL_STATUS_LINE(c -> c.write("HTTP/1.1 20")),
+    STATUS_LINE(c -> c.write("HTTP/1.1 200 OK\r\n")),
+    SECOND_RESPONSE(c -> c.write(FakeServer.ok("surplus"))),
+    RESET(FakeServer.Connection::reset);
 
     @SuppressWarnings("ImmutableEnumChecker") // A script holds no state.
     final FakeServer.Script script;
 
-    Late(FakeServer.Script script) {
+    LateInput(FakeServer.Script script) {
       this.script = script;
     }
   }
@@ -214,24 +221,28 @@
    * An engine that starts a queued request's attempt on a cue, once what arrives on the idle
    * connection is in the kernel.
    */
-  private static ScriptedEngine reusingOnCue(CountDownLatch cue, CountDownLatch done) {
+  private static ScriptedEngine engineReusingOnTrigger(
+      CountDownLatch trigger, CountDownLatch done) {
     List<String> held = new ArrayList<>();
     return new ScriptedEngine(
         (event, out) -> {
           if (event instanceof RequestArrived arrived && arrived.workHintNanos() > 0) {
-            cue.countDown();
+            trigger.countDown();
             try {
               assertTrue(done.await(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS));
             } catch (InterruptedException e) {
               throw new IllegalStateException(e);
             }
-            out.accept(new StartAttempt(held.get(0), DiscoveryMessages.endpointId("s-1"), LONG));
+            out.accept(
+                new StartAttempt(
+                    held.get(0), DiscoveryMessages.endpointId("s-1"), LONG_TIMEOUT_NANOS));
             out.accept(new RejectRequest(arrived.requestId(), 0));
           } else if (event instanceof RequestArrived arrived && arrived.tenant() != null) {
             held.add(arrived.requestId());
           } else if (event instanceof RequestArrived arrived) {
             out.accept(
-                new StartAttempt(arrived.requestId(), DiscoveryMessages.endpointId("s-1"), LONG));
+                new StartAttempt(
+                    arrived.requestId(), DiscoveryMessages.endpointId("s-1"), LONG_TIMEOUT_NANOS));
           } else if (event instanceof AttemptEnded ended && !ended.isRequestAnswered()) {
             out.accept(new FailRequest(ended.requestId()));
           }
@@ -239,17 +250,17 @@
   }
 
   /** An upstream that, behind its first response and on a cue, does what is late. */
-  private static FakeServer respondingAndThen(Late late, CountDownLatch cue, CountDownLatch done)
-      throws IOException {
+  private static FakeServer upstreamWithLateInput(
+      LateInput lateInput, CountDownLatch trigger, CountDownLatch done) throws IOException {
     return new FakeServer(
         c -> {
           for (String request = c.readRequest(); request != null; request = c.readRequest()) {
             boolean first = request.contains("X-Trace-Id: t1");
             c.write(FakeServer.ok(first ? "first" : "second"));
             if (first) {
-              cue.await();
+              trigger.await();
               // By the thread that reads: a reset is on its way once it has closed, not before.
-              late.script.run(c);
+              lateInput.script.run(c);
               done.countDown();
             }
           }
@@ -261,16 +272,16 @@
    * connection.
    */
   @ParameterizedTest
-  @EnumSource(Late.class)
-  void doesNotReuseAnUpstreamConnectionWithUnreadInput(Late late) throws Exception {
-    CountDownLatch cue = new CountDownLatch(1);
+  @EnumSource(LateInput.class)
+  void doesNotReuseAnUpstreamConnectionWithUnreadInput(LateInput lateInput) throws Exception {
+    CountDownLatch trigger = new CountDownLatch(1);
     CountDownLatch done = new CountDownLatch(1);
-    ScriptedEngine engine = reusingOnCue(cue, done);
-    try (FakeServer upstream = respondingAndThen(late, cue, done);
+    ScriptedEngine engine = engineReusingOnTrigger(trigger, done);
+    try (FakeServer upstream = upstreamWithLateInput(lateInput, trigger, done);
         ProxyFixture proxy =
             new ProxyFixture(
                 ProxyFixture.config(
-                    NOWHERE,
+                    UNREACHABLE_ADDRESS,
                     ProxyFixture.list(
                         1, true, ProxyFixture.member("s-1", upstream.address(), "ready"))),
                 engine);
@@ -282,7 +293,8 @@
       client.write(ProxyFixture.get("t2", "X-Customer: held\r\n"));
       engine.awaitEvent(RequestArrived.class);
       Thread.sleep(50); // The connection has rested for long enough to be used again.
-      assertTrue(other.exchange(ProxyFixture.get("cue", CUE)).startsWith("HTTP/1.1 429 "));
+      assertTrue(
+          other.exchange(ProxyFixture.get("cue", TRIGGER_HEADER)).startsWith("HTTP/1.1 429 "));
       assertEquals(AttemptStatus.SUCCESS, engine.awaitEvent(AttemptEnded.class).status());
       assertTrue(client.readResponse().endsWith("\r\n\r\nsecond"), "its own answer");
       assertEquals(1, upstream.connections.size(), "on another connection");
@@ -290,7 +302,7 @@
   }
 
   /** An engine that on a cue has one client write a request and another one connect. */
-  private static ScriptedEngine connectingOnCue(
+  private static ScriptedEngine engineConnectingOnTrigger(
       AtomicReference<ProxyFixture> started,
       AtomicReference<Client> unread,
       CompletableFuture<Client> accepted) {
@@ -317,32 +329,36 @@
    */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void doesNotShedAConnectionWithAnUnreadRequest(boolean askedBefore) throws Exception {
+  void doesNotShedAConnectionWithAnUnreadRequest(boolean servedBefore) throws Exception {
     AtomicReference<ProxyFixture> started = new AtomicReference<>();
-    AtomicReference<Client> lying = new AtomicReference<>();
+    AtomicReference<Client> unreadClient = new AtomicReference<>();
     CompletableFuture<Client> accepted = new CompletableFuture<>();
-    ScriptedEngine engine = connectingOnCue(started, lying, accepted);
+    ScriptedEngine engine = engineConnectingOnTrigger(started, unreadClient, accepted);
     // At the limit of three clients the one that connected first is shed first.
     BalancerConfig config =
-        ProxyFixture.config(NOWHERE, ProxyFixture.list(1, true), "on_request", 200, 62, "");
+        ProxyFixture.config(
+            UNREACHABLE_ADDRESS, ProxyFixture.list(1, true), "on_request", 200, 62, "");
     try (ProxyFixture proxy = new ProxyFixture(config, engine);
-        Client crossing = proxy.client()) {
-      if (askedBefore) {
-        assertNotNull(crossing.exchange(HEALTH));
+        Client requesting = proxy.client()) {
+      if (servedBefore) {
+        assertNotNull(requesting.exchange(HEALTH_REQUEST));
       }
-      try (Client cue = proxy.client();
-          Client resting = proxy.client()) {
-        assertNotNull(cue.exchange(HEALTH));
-        if (askedBefore) {
-          assertNotNull(resting.exchange(HEALTH));
+      try (Client triggerClient = proxy.client();
+          Client idle = proxy.client()) {
+        assertNotNull(triggerClient.exchange(HEALTH_REQUEST));
+        if (servedBefore) {
+          assertNotNull(idle.exchange(HEALTH_REQUEST));
         }
         started.set(proxy);
-        lying.set(crossing);
-        assertTrue(cue.exchange(ProxyFixture.get("cue", CUE)).startsWith("HTTP/1.1 429 "));
-        String answer = crossing.readResponse();
-        assertNotNull(answer, "closed over its request");
-        assertTrue(answer.startsWith("HTTP/1.1 429 "), answer);
-        assertNull(resting.readResponse(), "closed in its place");
+        unreadClient.set(requesting);
+        assertTrue(
+            triggerClient
+                .exchange(ProxyFixture.get("cue", TRIGGER_HEADER))
+                .startsWith("HTTP/1.1 429 "));
+        String response = requesting.readResponse();
+        assertNotNull(response, "closed over its request");
+        assertTrue(response.startsWith("HTTP/1.1 429 "), response);
+        assertNull(idle.readResponse(), "closed in its place");
         accepted.get(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS).close();
       }
     }
@@ -359,15 +375,16 @@
               }
             });
     try (ProxyFixture proxy =
-            new ProxyFixture(ProxyFixture.config(NOWHERE, ProxyFixture.list(1, true)), engine);
-        Client resting = proxy.client()) {
-      assertNotNull(resting.exchange(HEALTH));
-      Thread stop = new Thread(proxy.server::shutDownGracefully);
-      stop.start();
+            new ProxyFixture(
+                ProxyFixture.config(UNREACHABLE_ADDRESS, ProxyFixture.list(1, true)), engine);
+        Client idle = proxy.client()) {
+      assertNotNull(idle.exchange(HEALTH_REQUEST));
+      Thread shutdown = new Thread(proxy.server::shutDownGracefully);
+      shutdown.start();
       proxy.server.awaitShutdownStart();
-      assertNull(resting.readResponse(), "the end");
-      stop.join(TimeUnit.SECONDS.toMillis(ProxyFixture.TIMEOUT_SECONDS));
-      assertFalse(stop.isAlive(), "ends");
+      assertNull(idle.readResponse(), "the end");
+      shutdown.join(TimeUnit.SECONDS.toMillis(ProxyFixture.TIMEOUT_SECONDS));
+      assertFalse(shutdown.isAlive(), "ends");
       assertTrue(engine.events.stream().noneMatch(e -> e instanceof RequestArrived));
     }
   }
--- a/src/test/java/loadbalancer/proxy/EventQueueTest.java
+++ b/src/test/java/loadbalancer/proxy/EventQueueTest.java
@@ -13,16 +13,16 @@
 class EventQueueTest {
 
   /** An event that notes what becomes of it. */
-  private record Noted(String name, List<String> notes) implements EventQueue.Pending {
+  private record RecordedEvent(String name, List<String> log) implements EventQueue.PendingEvent {
     @Override
     public Event take() {
-      notes.add(name + " taken");
+      log.add(name + " taken");
       return new TimerFired(name);
     }
 
     @Override
     public void discard() {
-      notes.add(name + " discarded");
+      log.add(name + " discarded");
     }
   }
 
@@ -30,13 +30,13 @@
   @Test
   void discardsTheEventsThatAFailedEngineHasNotBeenGiven() {
     EmbeddedChannel channel = new EmbeddedChannel();
-    List<String> notes = new ArrayList<>();
+    List<String> log = new ArrayList<>();
     EventQueue queue = new EventQueue(channel.eventLoop());
     queue.deliverTo(event -> queue.startNextGeneration());
-    queue.enqueue(new Noted("first", notes));
-    queue.enqueue(new Noted("second", notes));
-    queue.enqueue(new Noted("third", notes));
+    queue.enqueue(new RecordedEvent("first", log));
+    queue.enqueue(new RecordedEvent("second", log));
+    queue.enqueue(new RecordedEvent("third", log));
     channel.runPendingTasks();
-    assertEquals(List.of("first taken", "second discarded", "third discarded"), notes);
+    assertEquals(List.of("first taken", "second discarded", "third discarded"), log);
   }
 }
--- a/src/test/java/loadbalancer/proxy/FragmentedMessageTest.java
+++ b/src/test/java/loadbalancer/proxy/FragmentedMessageTest.java
@@ -24,13 +24,13 @@
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
 class FragmentedMessageTest {
 
-  private static final String NOWHERE = "127.0.0.1:1";
-  private static final long LONG = TimeUnit.SECONDS.toNanos(30);
+  private static final String UNREACHABLE_ADDRESS = "127.0.0.1:1";
+  private static final long LONG_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(30);
   private static final String INFORMATIONAL = "HTTP/1.1 100 Continue\r\n\r\n";
 
-  private static BalancerConfig one(FakeServer upstream) throws IOException {
+  private static BalancerConfig singleEndpointConfig(FakeServer upstream) throws IOException {
     return ProxyFixture.config(
-        NOWHERE,
+        UNREACHABLE_ADDRESS,
         ProxyFixture.list(1, true, ProxyFixture.member("s-1", upstream.address(), "ready")));
   }
 
@@ -59,28 +59,28 @@
       })
   void servesAResponseThatStartsInTheSegmentOfAnInformationalOne(String first, String rest)
       throws Exception {
-    ScriptedEngine engine = new ScriptedEngine(LONG);
-    CountDownLatch begun = new CountDownLatch(1);
-    CountDownLatch read = new CountDownLatch(1);
+    ScriptedEngine engine = new ScriptedEngine(LONG_TIMEOUT_NANOS);
+    CountDownLatch firstPartWritten = new CountDownLatch(1);
+    CountDownLatch firstPartRead = new CountDownLatch(1);
     try (FakeServer upstream =
             new FakeServer(
                 c -> {
                   c.readRequest();
                   c.write(INFORMATIONAL + first.replace("~", "\r\n"));
-                  begun.countDown();
-                  read.await();
+                  firstPartWritten.countDown();
+                  firstPartRead.await();
                   c.write(rest.replace("~", "\r\n"));
                   c.awaitClose();
                 });
-        ProxyFixture proxy = new ProxyFixture(one(upstream), engine);
+        ProxyFixture proxy = new ProxyFixture(singleEndpointConfig(upstream), engine);
         Client client = proxy.client()) {
       client.write(ProxyFixture.get("t", ""));
-      begun.await();
+      firstPartWritten.await();
       awaitEventLoopTurns(proxy);
-      read.countDown();
-      String answer = client.readResponse();
+      firstPartRead.countDown();
+      String response = client.readResponse();
       assertEquals(AttemptStatus.SUCCESS, engine.awaitEvent(AttemptEnded.class).status());
-      assertTrue(answer.startsWith("HTTP/1.1 200 ") && answer.endsWith("\r\n\r\nok"), answer);
+      assertTrue(response.startsWith("HTTP/1.1 200 ") && response.endsWith("\r\n\r\nok"), response);
     }
   }
 
@@ -93,7 +93,7 @@
         "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n"
       })
   void resetsAnAttemptWhoseResponseStopsAfterThatSegment(String first) throws Exception {
-    ScriptedEngine engine = new ScriptedEngine(LONG);
+    ScriptedEngine engine = new ScriptedEngine(LONG_TIMEOUT_NANOS);
     try (FakeServer upstream =
             new FakeServer(
                 c -> {
@@ -101,7 +101,7 @@
                   c.write(INFORMATIONAL + first);
                   c.awaitClose();
                 });
-        ProxyFixture proxy = new ProxyFixture(one(upstream), engine);
+        ProxyFixture proxy = new ProxyFixture(singleEndpointConfig(upstream), engine);
         Client client = proxy.client()) {
       assertTrue(client.exchange(ProxyFixture.get("t", "")).startsWith("HTTP/1.1 502 "));
       assertEquals(AttemptStatus.RESET, engine.awaitEvent(AttemptEnded.class).status());
@@ -111,7 +111,7 @@
   /** An informational response does not start the time limit of the final one. */
   @Test
   void waitsForTheFinalResponseAfterAnInformationalOne() throws Exception {
-    ScriptedEngine engine = new ScriptedEngine(LONG);
+    ScriptedEngine engine = new ScriptedEngine(LONG_TIMEOUT_NANOS);
     try (FakeServer upstream =
             new FakeServer(
                 c -> {
@@ -121,7 +121,7 @@
                   c.write(FakeServer.ok("ok"));
                   c.awaitClose();
                 });
-        ProxyFixture proxy = new ProxyFixture(one(upstream), engine);
+        ProxyFixture proxy = new ProxyFixture(singleEndpointConfig(upstream), engine);
         Client client = proxy.client()) {
       assertTrue(client.exchange(ProxyFixture.get("t", "")).endsWith("\r\n\r\nok"));
       assertEquals(AttemptStatus.SUCCESS, engine.awaitEvent(AttemptEnded.class).status());
@@ -137,21 +137,21 @@
         "HTTP/1.1 200 OK~Transfer-Encoding: chunked~~2;ext=1~ok~000~Trailer: x~~",
         "HTTP/1.1 100 Continue~~HTTP/1.1 200 OK~Connection: close~Content-Length: 2~~ok"
       })
-  void servesAResponseInSingleBytes(String answer) throws Exception {
-    ScriptedEngine engine = new ScriptedEngine(LONG);
+  void servesAResponseInSingleBytes(String response) throws Exception {
+    ScriptedEngine engine = new ScriptedEngine(LONG_TIMEOUT_NANOS);
     try (FakeServer upstream =
             new FakeServer(
                 c -> {
                   c.readRequest();
-                  for (char each : answer.replace("~", "\r\n").toCharArray()) {
+                  for (char each : response.replace("~", "\r\n").toCharArray()) {
                     c.write(String.valueOf(each));
                   }
                   c.awaitClose();
                 });
-        ProxyFixture proxy = new ProxyFixture(one(upstream), engine);
+        ProxyFixture proxy = new ProxyFixture(singleEndpointConfig(upstream), engine);
         Client client = proxy.client()) {
-      String got = client.exchange(ProxyFixture.get("t", ""));
-      assertTrue(got.startsWith("HTTP/1.1 200 ") && got.endsWith("\r\n\r\nok"), got);
+      String received = client.exchange(ProxyFixture.get("t", ""));
+      assertTrue(received.startsWith("HTTP/1.1 200 ") && received.endsWith("\r\n\r\nok"), received);
     }
   }
 
@@ -168,16 +168,20 @@
         ("POST /api HTTP/1.1~x-trace-id:t~X-Qos: keyed~Idempotency-Key: k~" + framed)
             .replace("~", "\r\n");
     try (FakeServer upstream = FakeServer.respondingWith(FakeServer.ok("x"));
-        ProxyFixture proxy = new ProxyFixture(one(upstream), new ScriptedEngine(LONG));
+        ProxyFixture proxy =
+            new ProxyFixture(
+                singleEndpointConfig(upstream), new ScriptedEngine(LONG_TIMEOUT_NANOS));
         Client client = proxy.client()) {
       client.socket.setTcpNoDelay(true);
       for (int i = 0; i < request.length(); i++) {
         client.write(request.substring(i, i + 1));
       }
       assertTrue(client.readResponse().startsWith("HTTP/1.1 200 "));
-      String got = upstream.requests.poll(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS);
-      assertNotNull(got);
-      assertTrue(got.endsWith("\r\n\r\nbody") && got.contains("Idempotency-Key: k\r\n"), got);
+      String received = upstream.requests.poll(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS);
+      assertNotNull(received);
+      assertTrue(
+          received.endsWith("\r\n\r\nbody") && received.contains("Idempotency-Key: k\r\n"),
+          received);
     }
   }
 }
--- a/src/test/java/loadbalancer/proxy/GracefulShutdownTest.java
+++ b/src/test/java/loadbalancer/proxy/GracefulShutdownTest.java
@@ -29,10 +29,10 @@
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
 class GracefulShutdownTest {
 
-  private static final String HEALTH = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
+  private static final String HEALTH_REQUEST = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
 
   /** Makes a request a cue, at which the engine runs a test's step on the event loop. */
-  private static final String CUE = "X-Size-Hint: 7\r\n";
+  private static final String TRIGGER_HEADER = "X-Size-Hint: 7\r\n";
 
   private static BalancerConfig config(long deadlineMillis) throws IOException {
     String text =
@@ -70,11 +70,11 @@
     String text =
         ProxyFixture.configText(
             "127.0.0.1:1", ProxyFixture.list(1, true), "on_request", 200, 1024, "");
-    Settings brief =
+    Settings shortDeadlines =
         BalancerConfig.parse(text.replace("40000000000", "1940000000"), Map.of()).settings();
-    assertTrue(GracefulShutdown.expiryMillis(brief) < 1940 + 700);
-    Settings usual = BalancerConfig.parse(text, Map.of()).settings();
-    assertTrue(GracefulShutdown.expiryMillis(usual) < 3000 + 700);
+    assertTrue(GracefulShutdown.expiryMillis(shortDeadlines) < 1940 + 700);
+    Settings longDeadlines = BalancerConfig.parse(text, Map.of()).settings();
+    assertTrue(GracefulShutdown.expiryMillis(longDeadlines) < 3000 + 700);
   }
 
   /**
@@ -101,8 +101,9 @@
         Client other = proxy.client()) {
       started.set(proxy);
       idle.set(client);
-      assertNotNull(client.exchange(HEALTH), "open, and then idle");
-      assertTrue(other.exchange(ProxyFixture.get("cue", CUE)).startsWith("HTTP/1.1 429 "));
+      assertNotNull(client.exchange(HEALTH_REQUEST), "open, and then idle");
+      assertTrue(
+          other.exchange(ProxyFixture.get("cue", TRIGGER_HEADER)).startsWith("HTTP/1.1 429 "));
       String response = client.readResponse();
       assertNotNull(response, "closed over the request");
       assertTrue(
@@ -113,11 +114,11 @@
   }
 
   /** What meets a request in one turn of the loop, before that reads its sockets again. */
-  private enum Crossing {
+  private enum ConcurrentOperation {
     /** The listener closes over a connection that the system has accepted, with its request. */
     LISTENER_CLOSES {
       @Override
-      Client cross(ProxyFixture proxy, Client open) throws IOException {
+      Client perform(ProxyFixture proxy, Client open) throws IOException {
         Client accepted = proxy.client().write(ProxyFixture.get("crossing", ""));
         proxy.server.listener().stopAccepting();
         return accepted;
@@ -126,7 +127,7 @@
     /** A complete request's connection has no more time to send one. */
     INCOMPLETE_REQUESTS_EXPIRE {
       @Override
-      Client cross(ProxyFixture proxy, Client open) throws IOException {
+      Client perform(ProxyFixture proxy, Client open) throws IOException {
         open.write(ProxyFixture.get("crossing", ""));
         proxy.server.listener().expireIncompleteRequests();
         return open;
@@ -139,25 +140,25 @@
      * @param open a client that has not sent anything
      * @return the client whose request crosses
      */
-    abstract Client cross(ProxyFixture proxy, Client open) throws IOException;
+    abstract Client perform(ProxyFixture proxy, Client open) throws IOException;
   }
 
   /** It was a reset, or an error. */
   @ParameterizedTest
-  @EnumSource(Crossing.class)
-  void respondsToARequestThatIsInTheKernel(Crossing crossing) throws Exception {
+  @EnumSource(ConcurrentOperation.class)
+  void respondsToARequestThatIsInTheKernel(ConcurrentOperation operation) throws Exception {
     AtomicReference<ProxyFixture> started = new AtomicReference<>();
     AtomicReference<Client> open = new AtomicReference<>();
-    CompletableFuture<Client> crossed = new CompletableFuture<>();
+    CompletableFuture<Client> requestingClient = new CompletableFuture<>();
     ScriptedEngine engine =
         new ScriptedEngine(
             (event, actions) -> {
               if (event instanceof RequestArrived request) {
                 if (request.workHintNanos() > 0) {
                   try {
-                    crossed.complete(crossing.cross(started.get(), open.get()));
+                    requestingClient.complete(operation.perform(started.get(), open.get()));
                   } catch (IOException e) {
-                    crossed.completeExceptionally(e);
+                    requestingClient.completeExceptionally(e);
                   }
                 }
                 actions.accept(new RejectRequest(request.requestId(), 0));
@@ -168,9 +169,11 @@
         Client other = proxy.client()) {
       started.set(proxy);
       open.set(client);
-      assertTrue(other.exchange(ProxyFixture.get("cue", CUE)).startsWith("HTTP/1.1 429 "));
-      try (Client found = crossed.get(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
-        String response = found.readResponse();
+      assertTrue(
+          other.exchange(ProxyFixture.get("cue", TRIGGER_HEADER)).startsWith("HTTP/1.1 429 "));
+      try (Client requesting =
+          requestingClient.get(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
+        String response = requesting.readResponse();
         assertNotNull(response, "closed over the request");
         assertTrue(response.startsWith("HTTP/1.1 429 "), response);
       }
@@ -200,22 +203,22 @@
         Client busy = proxy.client();
         Client waiting = proxy.client();
         Client late = proxy.client()) {
-      assertNotNull(late.exchange(HEALTH));
-      long from = System.nanoTime();
+      assertNotNull(late.exchange(HEALTH_REQUEST));
+      long startNanos = System.nanoTime();
       Thread shutdown = startShutdown(proxy);
       Thread.sleep(GracefulShutdown.expiryMillis(config.settings()) - 60);
       waiting.write(ProxyFixture.get("held", ""));
-      busy.write(ProxyFixture.get("hold", CUE));
+      busy.write(ProxyFixture.get("hold", TRIGGER_HEADER));
       Thread.sleep(50);
       late.write(ProxyFixture.get("unread", ""));
       for (Client client : List.of(waiting, busy, late)) {
         assertTrue(client.readResponse().startsWith("HTTP/1.1 50"), "a complete response");
       }
       awaitEnd(shutdown);
-      long tookMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - from);
+      long durationMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos);
       assertTrue(
-          tookMillis < deadlineMillis + 700,
-          "SIGKILL comes before the end at " + tookMillis + " ms");
+          durationMillis < deadlineMillis + 700,
+          "SIGKILL comes before the end at " + durationMillis + " ms");
     }
   }
 
@@ -251,15 +254,16 @@
                     "127.0.0.1:1",
                     ProxyFixture.list(
                         1, true, ProxyFixture.member("s-1", upstream.address(), "ready"))));
-        Client old = proxy.client()) {
-      assertTrue(old.exchange(ProxyFixture.get("t1", "")).startsWith("HTTP/1.1 200 "));
+        Client earlier = proxy.client()) {
+      assertTrue(earlier.exchange(ProxyFixture.get("t1", "")).startsWith("HTTP/1.1 200 "));
       Thread shutdown = startShutdown(proxy);
       try (Client late = proxy.client()) {
-        assertTrue(late.exchange(HEALTH).startsWith("HTTP/1.1 503 "), "sends clients elsewhere");
+        assertTrue(
+            late.exchange(HEALTH_REQUEST).startsWith("HTTP/1.1 503 "), "sends clients elsewhere");
         assertTrue(late.exchange(ProxyFixture.get("t2", "")).startsWith("HTTP/1.1 200 "));
         assertNull(late.readResponse(), "and the connection ends");
       }
-      assertNull(old.readResponse(), "as does one from before");
+      assertNull(earlier.readResponse(), "as does one from before");
       shutdown.join(TimeUnit.SECONDS.toMillis(ProxyFixture.TIMEOUT_SECONDS));
       assertTrue(!shutdown.isAlive(), "ends once no client is left");
     }
@@ -278,7 +282,7 @@
       client.write(ProxyFixture.get("t1", "") + ProxyFixture.get("t2", ""));
       assertEquals("r0", engine.awaitEvent(RequestArrived.class).requestId());
       Thread shutdown = startShutdown(proxy);
-      assertNotNull(slow.exchange(HEALTH));
+      assertNotNull(slow.exchange(HEALTH_REQUEST));
       // Begun before idle connections are closed, and late enough not to time out by itself.
       Thread.sleep(1700);
       slow.write("POST /api HT");
--- a/src/test/java/loadbalancer/proxy/LargeFleetIT.java
+++ b/src/test/java/loadbalancer/proxy/LargeFleetIT.java
@@ -34,13 +34,13 @@
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
 class LargeFleetIT {
 
-  private static final int MANY = 1024;
+  private static final int FLEET_SIZE = 1024;
 
   @TempDir Path folder;
   private Process process;
 
   @AfterEach
-  void end() {
+  void destroyProcess() {
     if (process != null) {
       process.destroyForcibly();
     }
@@ -71,15 +71,15 @@
     }
   }
 
-  private static String ask(Socket client, String text) throws IOException {
+  private static String exchange(Socket client, String text) throws IOException {
     client.setSoTimeout(ProxyFixture.TIMEOUT_SECONDS * 1000);
     client.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
     return FakeServer.MessageReader.read(client.getInputStream());
   }
 
-  private static String askAnew(int port, String id) throws IOException {
+  private static String exchangeOnNewConnection(int port, String id) throws IOException {
     try (Socket client = new Socket(InetAddress.getLoopbackAddress(), port)) {
-      return ask(client, ProxyFixture.get(id, "Cookie: sid=" + id + "\r\n"));
+      return exchange(client, ProxyFixture.get(id, "Cookie: sid=" + id + "\r\n"));
     }
   }
 
@@ -88,7 +88,7 @@
     return ProxyFixture.list(
         revision,
         true,
-        IntStream.range(0, MANY)
+        IntStream.range(0, FLEET_SIZE)
             .mapToObj(
                 i ->
                     ProxyFixture.member(
@@ -106,7 +106,7 @@
 
   /** The addresses of as many instances. */
   private static String peers() {
-    return IntStream.range(0, MANY)
+    return IntStream.range(0, FLEET_SIZE)
         .mapToObj(i -> "\"127.0." + i / 250 + "." + (i % 250 + 1) + ":7946\"")
         .collect(Collectors.joining(",", "\"peers\":[", "],"));
   }
@@ -114,7 +114,7 @@
   /** By lists that come indented. */
   @Test
   void servesAThousandEndpointsAndInstancesInTheLeastMemory() throws Exception {
-    CountDownLatch moved = new CountDownLatch(1);
+    CountDownLatch listChanged = new CountDownLatch(1);
     try (FakeServer first = FakeServer.respondingWith(FakeServer.ok("first"));
         FakeServer last = FakeServer.respondingWith(FakeServer.ok("last"));
         FakeServer discovery =
@@ -123,26 +123,27 @@
                   c.readRequest();
                   c.write(
                       DiscoveryMessages.watchResponse(
-                          indented(list(42, MANY - 1, last.address()))));
-                  moved.await();
+                          indented(list(42, FLEET_SIZE - 1, last.address()))));
+                  listChanged.await();
                   c.write(DiscoveryMessages.chunk(indented(list(43, 0, first.address()))));
                   c.awaitClose();
                 })) {
       String config =
           ProxyFixture.configText(
                   discovery.address(),
-                  list(41, MANY / 2, "127.0.0.1:1"),
+                  list(41, FLEET_SIZE / 2, "127.0.0.1:1"),
                   "pushed",
                   200,
-                  MANY,
+                  FLEET_SIZE,
                   peers())
               .replace("\"memory_mb\":192", "\"memory_mb\":32")
-              .replace("\"me\":0", "\"me\":" + (MANY - 1) + ",\"group-size\":" + MANY);
-      int port = start(config, MANY);
-      assertTrue(log().contains(" endpoints=" + MANY + " "), log());
-      assertTrue(askAnew(port, "t1").endsWith("\r\n\r\nlast"), "the end of the list");
-      moved.countDown();
-      for (int i = 0; !askAnew(port, "u" + i).endsWith("\r\n\r\nfirst"); i++) {
+              .replace("\"me\":0", "\"me\":" + (FLEET_SIZE - 1) + ",\"group-size\":" + FLEET_SIZE);
+      int port = start(config, FLEET_SIZE);
+      assertTrue(log().contains(" endpoints=" + FLEET_SIZE + " "), log());
+      assertTrue(
+          exchangeOnNewConnection(port, "t1").endsWith("\r\n\r\nlast"), "the end of the list");
+      listChanged.countDown();
+      for (int i = 0; !exchangeOnNewConnection(port, "u" + i).endsWith("\r\n\r\nfirst"); i++) {
         Thread.sleep(10);
       }
       assertEquals(1, discovery.connections.size(), "the watch still stands: " + log());
@@ -152,21 +153,22 @@
   }
 
   /** An upstream that responds once the latch is open. */
-  private static FakeServer respondingAfter(CountDownLatch cue) throws IOException {
+  private static FakeServer upstreamRespondingAfter(CountDownLatch responseAllowed)
+      throws IOException {
     return new FakeServer(
         connection -> {
           while (connection.readRequest() != null) {
-            cue.await();
+            responseAllowed.await();
             connection.write(FakeServer.ok("slow"));
           }
         });
   }
 
   /** Discovery that resets every connection until it is up, and then lists one endpoint. */
-  private static FakeServer discovery(AtomicBoolean up, FakeServer listed) throws IOException {
+  private static FakeServer discovery(AtomicBoolean isUp, FakeServer listed) throws IOException {
     return new FakeServer(
         connection -> {
-          if (!up.get()) {
+          if (!isUp.get()) {
             connection.reset();
           }
           connection.readRequest();
@@ -196,12 +198,12 @@
     for (int i = 0; i < 500; i++) {
       Socket client = new Socket(InetAddress.getLoopbackAddress(), port);
       idle.add(client);
-      String response = ask(client, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
+      String response = exchange(client, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
       assertNotNull(response, "a new client gets its response");
     }
   }
 
-  private static void assertAnswered(List<Socket> open) throws IOException {
+  private static void assertResponses(List<Socket> open) throws IOException {
     for (Socket client : open) {
       client.setSoTimeout(ProxyFixture.TIMEOUT_SECONDS * 1000);
       String response = FakeServer.MessageReader.read(client.getInputStream());
@@ -214,7 +216,7 @@
     }
   }
 
-  private void assertIdle() throws InterruptedException {
+  private void assertLowCpuUse() throws InterruptedException {
     Duration before = process.info().totalCpuDuration().orElseThrow();
     Thread.sleep(2000); // The time itself is what is tested.
     long usedMillis = process.info().totalCpuDuration().orElseThrow().minus(before).toMillis();
@@ -227,13 +229,13 @@
    */
   @Test
   void servesAndFindsDiscoveryWhenIdleClientsFillTheDescriptors() throws Exception {
-    AtomicBoolean up = new AtomicBoolean();
-    CountDownLatch cue = new CountDownLatch(1);
+    AtomicBoolean isUp = new AtomicBoolean();
+    CountDownLatch responseAllowed = new CountDownLatch(1);
     List<Socket> idle = new ArrayList<>();
-    try (FakeServer slow = respondingAfter(cue);
+    try (FakeServer slow = upstreamRespondingAfter(responseAllowed);
         FakeServer known = FakeServer.respondingWith(FakeServer.ok("known"));
         FakeServer listed = FakeServer.respondingWith(FakeServer.ok("listed"));
-        FakeServer discovery = discovery(up, listed)) {
+        FakeServer discovery = discovery(isUp, listed)) {
       String members =
           ProxyFixture.list(
               41,
@@ -244,18 +246,20 @@
           start(ProxyFixture.configText(discovery.address(), members, "pushed", 200, 256, ""), 256);
       List<Socket> open = openRequests(port, slow);
       connectIdle(port, idle);
-      assertTrue(askAnew(port, "while-down").startsWith("HTTP/1.1 "), "and a request a final one");
-      assertIdle();
-      up.set(true);
+      assertTrue(
+          exchangeOnNewConnection(port, "while-down").startsWith("HTTP/1.1 "),
+          "and a request a final one");
+      assertLowCpuUse();
+      isUp.set(true);
       while (!log().contains("discovery_recovered")) {
         Thread.sleep(10);
       }
       while (listed.requests.isEmpty()) {
-        askAnew(port, "when-back" + System.nanoTime());
+        exchangeOnNewConnection(port, "when-back" + System.nanoTime());
         Thread.sleep(10);
       }
-      cue.countDown();
-      assertAnswered(open);
+      responseAllowed.countDown();
+      assertResponses(open);
       assertTrue(process.isAlive(), log());
       assertFalse(log().contains("Too many open files"), log());
     } finally {
--- a/src/test/java/loadbalancer/proxy/ProxyTest.java
+++ b/src/test/java/loadbalancer/proxy/ProxyTest.java
@@ -22,18 +22,18 @@
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
 class ProxyTest {
 
-  private static final String NOWHERE = "127.0.0.1:1";
-  private static final String HEALTH = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
+  private static final String UNREACHABLE_ADDRESS = "127.0.0.1:1";
+  private static final String HEALTH_REQUEST = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
 
-  private static BalancerConfig only(FakeServer upstream) throws IOException {
+  private static BalancerConfig singleEndpointConfig(FakeServer upstream) throws IOException {
     String member = ProxyFixture.member("s-1", upstream.address(), "ready");
-    return ProxyFixture.config(NOWHERE, ProxyFixture.list(1, true, member));
+    return ProxyFixture.config(UNREACHABLE_ADDRESS, ProxyFixture.list(1, true, member));
   }
 
   @Test
   void forwardsRequestsUnchangedOverReusedConnections() throws Exception {
     try (FakeServer upstream = FakeServer.respondingWith(FakeServer.ok("an answer"));
-        ProxyFixture proxy = new ProxyFixture(only(upstream));
+        ProxyFixture proxy = new ProxyFixture(singleEndpointConfig(upstream));
         Client client = proxy.client()) {
       String response =
           client.exchange(
@@ -86,7 +86,7 @@
       })
   void respondsToInvalidRequestsAndForwardsNone(String request, int status) throws Exception {
     try (FakeServer upstream = FakeServer.respondingWith(FakeServer.ok("x"));
-        ProxyFixture proxy = new ProxyFixture(only(upstream))) {
+        ProxyFixture proxy = new ProxyFixture(singleEndpointConfig(upstream))) {
       try (Client client = proxy.client()) {
         String response = client.exchange(request.trim().replace("~", "\r\n"));
         assertTrue(response.startsWith("HTTP/1.1 " + status + " "), response);
@@ -104,7 +104,7 @@
   void passesBodiesOfTheLargestSize() throws Exception {
     String body = "b".repeat(HttpProtocol.MAX_BODY_BYTES);
     try (FakeServer upstream = FakeServer.respondingWith(FakeServer.ok(body));
-        ProxyFixture proxy = new ProxyFixture(only(upstream));
+        ProxyFixture proxy = new ProxyFixture(singleEndpointConfig(upstream));
         Client client = proxy.client()) {
       String response = client.exchange(ProxyFixture.post("t", "Idempotency-Key: k\r\n", body));
       assertTrue(response.startsWith("HTTP/1.1 200 ") && response.endsWith("\r\n\r\n" + body));
@@ -115,14 +115,16 @@
   @Test
   void healthSaysWhetherItCanServe() throws Exception {
     try (FakeServer upstream = FakeServer.respondingWith(FakeServer.ok("x"));
-        ProxyFixture proxy = new ProxyFixture(only(upstream));
+        ProxyFixture proxy = new ProxyFixture(singleEndpointConfig(upstream));
         Client client = proxy.client()) {
-      assertTrue(client.exchange(HEALTH).startsWith("HTTP/1.1 200 "));
+      assertTrue(client.exchange(HEALTH_REQUEST).startsWith("HTTP/1.1 200 "));
     }
-    BalancerConfig noEndpoints = ProxyFixture.config(NOWHERE, ProxyFixture.list(1, true));
+    BalancerConfig noEndpoints =
+        ProxyFixture.config(UNREACHABLE_ADDRESS, ProxyFixture.list(1, true));
     try (ProxyFixture proxy = new ProxyFixture(noEndpoints);
         Client client = proxy.client()) {
-      assertTrue(client.exchange(HEALTH).startsWith("HTTP/1.1 503 "), "no endpoint is known");
+      assertTrue(
+          client.exchange(HEALTH_REQUEST).startsWith("HTTP/1.1 503 "), "no endpoint is known");
     }
   }
 
@@ -135,7 +137,7 @@
                 actions.accept(new RejectRequest(request.requestId(), 250_000_001));
               }
             });
-    BalancerConfig config = ProxyFixture.config(NOWHERE, ProxyFixture.list(1, true));
+    BalancerConfig config = ProxyFixture.config(UNREACHABLE_ADDRESS, ProxyFixture.list(1, true));
     try (ProxyFixture proxy = new ProxyFixture(config, engine);
         Client client = proxy.client()) {
       String response = client.exchange(ProxyFixture.get("t", ""));
@@ -157,7 +159,7 @@
                     connection.write(FakeServer.ok(first ? "1" : "2"));
                   }
                 });
-        ProxyFixture proxy = new ProxyFixture(only(upstream));
+        ProxyFixture proxy = new ProxyFixture(singleEndpointConfig(upstream));
         Client client = proxy.client()) {
       client.write(ProxyFixture.get("first", "") + ProxyFixture.get("second", ""));
       assertTrue(client.readResponse().endsWith("\r\n\r\n1"));
--- a/src/test/java/loadbalancer/proxy/ReloadOrderTest.java
+++ b/src/test/java/loadbalancer/proxy/ReloadOrderTest.java
@@ -32,15 +32,17 @@
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
 class ReloadOrderTest {
 
-  private static final String NOWHERE = "127.0.0.1:1";
-  private static final String READY = ProxyFixture.member("s-1", NOWHERE, "ready");
-  private static final String DRAINING = ProxyFixture.member("s-1", NOWHERE, "draining");
+  private static final String UNREACHABLE_ADDRESS = "127.0.0.1:1";
+  private static final String READY = ProxyFixture.member("s-1", UNREACHABLE_ADDRESS, "ready");
+  private static final String DRAINING =
+      ProxyFixture.member("s-1", UNREACHABLE_ADDRESS, "draining");
 
-  private static final String OTHER_DRAINING = ProxyFixture.member("s-2", NOWHERE, "draining");
+  private static final String OTHER_DRAINING =
+      ProxyFixture.member("s-2", UNREACHABLE_ADDRESS, "draining");
 
-  private final EventLoopSteps cues = new EventLoopSteps();
+  private final EventLoopSteps steps = new EventLoopSteps();
 
-  private static BalancerConfig pushed(String discovery, String known) throws IOException {
+  private static BalancerConfig pushedConfig(String discovery, String known) throws IOException {
     return ProxyFixture.config(discovery, known, "pushed", 200, 1024, "");
   }
 
@@ -68,28 +70,31 @@
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
   void carriesOutAReloadAndAShutdownInOneTurn(boolean shutdownFirst) throws Exception {
-    ScriptedEngine engine = cues.engine("s-1", TimeUnit.SECONDS.toNanos(30));
-    try (FakeServer fresh = new FakeServer(FakeServer.Connection::awaitClose);
-        ProxyFixture proxy = new ProxyFixture(pushed(NOWHERE, ProxyFixture.list(1, true)), engine);
-        Client cue = proxy.client();
+    ScriptedEngine engine = steps.engine("s-1", TimeUnit.SECONDS.toNanos(30));
+    try (FakeServer newDiscovery = new FakeServer(FakeServer.Connection::awaitClose);
+        ProxyFixture proxy =
+            new ProxyFixture(
+                pushedConfig(UNREACHABLE_ADDRESS, ProxyFixture.list(1, true)), engine);
+        Client triggerClient = proxy.client();
         Client other = proxy.client()) {
       Thread shutdown = new Thread(proxy.server::shutDownGracefully);
-      cues.add(
+      steps.add(
           actions -> {
             if (shutdownFirst) {
               shutdown.start();
               EventLoopSteps.sleep(100); // It waits for the loop by then.
             }
-            reload(proxy, fresh);
+            reload(proxy, newDiscovery);
             if (!shutdownFirst) {
               shutdown.start();
               EventLoopSteps.sleep(100);
             }
           });
-      String cueResponse = cue.exchange(ProxyFixture.get("cue", EventLoopSteps.TRIGGER_HEADER));
-      assertTrue(cueResponse.startsWith("HTTP/1.1 429 "));
+      String triggerResponse =
+          triggerClient.exchange(ProxyFixture.get("cue", EventLoopSteps.TRIGGER_HEADER));
+      assertTrue(triggerResponse.startsWith("HTTP/1.1 429 "));
       assertNotNull(
-          fresh.connections.poll(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS),
+          newDiscovery.connections.poll(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS),
           "discovery is followed");
       String health = other.exchange("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
       assertTrue(health.startsWith("HTTP/1.1 503 "), "it shuts down");
@@ -99,7 +104,7 @@
   }
 
   /** Discovery that sends one list to every watch, and keeps it open. */
-  private static FakeServer watched(String list) throws IOException {
+  private static FakeServer discoverySending(String list) throws IOException {
     return new FakeServer(
         connection -> {
           connection.readRequest();
@@ -111,7 +116,7 @@
   /**
    * Discovery that sends one list and resets the watch at the first latch, then opens the second.
    */
-  private static FakeServer resetting(CountDownLatch close, CountDownLatch closed)
+  private static FakeServer resettingDiscovery(CountDownLatch close, CountDownLatch closed)
       throws IOException {
     return new FakeServer(
         connection -> {
@@ -130,36 +135,38 @@
       throws Exception {
     CountDownLatch close = new CountDownLatch(1);
     CountDownLatch closed = new CountDownLatch(1);
-    ScriptedEngine engine = cues.engine("s-1", 0);
-    try (FakeServer old = resetting(close, closed);
-        FakeServer fresh = watched(ProxyFixture.list(3, true, READY, OTHER_DRAINING));
+    ScriptedEngine engine = steps.engine("s-1", 0);
+    try (FakeServer oldDiscovery = resettingDiscovery(close, closed);
+        FakeServer newDiscovery =
+            discoverySending(ProxyFixture.list(3, true, READY, OTHER_DRAINING));
         ProxyFixture proxy =
-            new ProxyFixture(pushed(old.address(), ProxyFixture.list(1, true, READY)), engine);
-        Client cue = proxy.client();
-        Client second = proxy.client()) {
+            new ProxyFixture(
+                pushedConfig(oldDiscovery.address(), ProxyFixture.list(1, true, READY)), engine);
+        Client triggerClient = proxy.client();
+        Client secondTriggerClient = proxy.client()) {
       assertEquals(UpdateKind.CACHED, engine.awaitEvent(EndpointListUpdate.class).kind());
       assertEquals(UpdateKind.FULL, engine.awaitEvent(EndpointListUpdate.class).kind());
-      cues.add(
+      steps.add(
           actions -> {
             if (closedFirst) {
               close.countDown();
               await(closed);
               // Read with the reset; the reload comes after both.
-              write(second, ProxyFixture.get("cue-2", EventLoopSteps.TRIGGER_HEADER));
+              write(secondTriggerClient, ProxyFixture.get("cue-2", EventLoopSteps.TRIGGER_HEADER));
             } else {
-              reload(proxy, fresh);
+              reload(proxy, newDiscovery);
               close.countDown();
               await(closed);
             }
           });
       if (closedFirst) {
-        cues.add(actions -> reload(proxy, fresh));
+        steps.add(actions -> reload(proxy, newDiscovery));
       }
-      cue.exchange(ProxyFixture.get("cue-1", EventLoopSteps.TRIGGER_HEADER));
+      triggerClient.exchange(ProxyFixture.get("cue-1", EventLoopSteps.TRIGGER_HEADER));
       EndpointListUpdate update = engine.awaitEvent(EndpointListUpdate.class);
       assertEquals(2, update.endpoints().size(), "by the new discovery's list");
       EventLoopSteps.sleep(1000); // Longer than the wait before the agent is called again.
-      assertEquals(1, fresh.connections.size(), "one watch at the new address");
+      assertEquals(1, newDiscovery.connections.size(), "one watch at the new address");
       assertNull(
           engine.events.stream()
               .filter(event -> event instanceof EndpointListUpdate)
@@ -175,9 +182,9 @@
   @Test
   void learnsOfDrainsInTimeWhenTheNewDiscoveryIsDownAtTheReload() throws Exception {
     AtomicInteger calls = new AtomicInteger();
-    ScriptedEngine engine = cues.engine("s-1", 0);
-    try (FakeServer old = watched(ProxyFixture.list(2, true, READY));
-        FakeServer fresh =
+    ScriptedEngine engine = steps.engine("s-1", 0);
+    try (FakeServer oldDiscovery = discoverySending(ProxyFixture.list(2, true, READY));
+        FakeServer newDiscovery =
             new FakeServer(
                 connection -> {
                   // Resets as often as it takes for the longest backoff, then is silent, and only
@@ -194,11 +201,12 @@
                   }
                 });
         ProxyFixture proxy =
-            new ProxyFixture(pushed(old.address(), ProxyFixture.list(1, true, READY)), engine)) {
+            new ProxyFixture(
+                pushedConfig(oldDiscovery.address(), ProxyFixture.list(1, true, READY)), engine)) {
       engine.awaitEvent(EndpointListUpdate.class);
       assertEquals(UpdateKind.FULL, engine.awaitEvent(EndpointListUpdate.class).kind());
       long reloadedAt = System.nanoTime();
-      reload(proxy, fresh);
+      reload(proxy, newDiscovery);
       EndpointListUpdate update = engine.awaitEvent(EndpointListUpdate.class);
       assertEquals(
           List.of(EndpointState.DRAINING),
--- a/src/test/java/loadbalancer/proxy/ReloadTest.java
+++ b/src/test/java/loadbalancer/proxy/ReloadTest.java
@@ -35,8 +35,8 @@
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
 class ReloadTest {
 
-  private static final String A = ProxyFixture.member("s-a", "127.0.0.1:1", "ready");
-  private static final String B = ProxyFixture.member("s-b", "127.0.0.1:2", "ready");
+  private static final String MEMBER_A = ProxyFixture.member("s-a", "127.0.0.1:1", "ready");
+  private static final String MEMBER_B = ProxyFixture.member("s-b", "127.0.0.1:2", "ready");
 
   private static FakeServer discovery(String... lines) throws IOException {
     return new FakeServer(
@@ -53,7 +53,7 @@
   }
 
   /** An engine that has discovery watched. */
-  private static ScriptedEngine watching() {
+  private static ScriptedEngine watchingEngine() {
     return new ScriptedEngine(
         (event, actions) -> {
           if (event instanceof EndpointListUpdate update && update.kind() == UpdateKind.CACHED) {
@@ -62,39 +62,40 @@
         });
   }
 
-  private static BalancerConfig polled(FakeServer discovery) throws IOException {
-    return ProxyFixture.config(discovery.address(), ProxyFixture.list(1, true, A));
+  private static BalancerConfig polledConfig(FakeServer discovery) throws IOException {
+    return ProxyFixture.config(discovery.address(), ProxyFixture.list(1, true, MEMBER_A));
   }
 
-  private static BalancerConfig pushed(FakeServer discovery) throws IOException {
+  private static BalancerConfig pushedConfig(FakeServer discovery) throws IOException {
     return ProxyFixture.config(
-        discovery.address(), ProxyFixture.list(1, true, A), "pushed", 200, 1024, "");
+        discovery.address(), ProxyFixture.list(1, true, MEMBER_A), "pushed", 200, 1024, "");
   }
 
   @Test
   void followsDiscoveryToItsNewAddressAtOnce() throws Exception {
-    ScriptedEngine engine = watching();
-    try (FakeServer old = discovery(ProxyFixture.list(2, true, A));
-        FakeServer fresh = discovery(ProxyFixture.list(3, true, A, B));
-        ProxyFixture proxy = new ProxyFixture(polled(old), engine)) {
+    ScriptedEngine engine = watchingEngine();
+    try (FakeServer oldDiscovery = discovery(ProxyFixture.list(2, true, MEMBER_A));
+        FakeServer newDiscovery = discovery(ProxyFixture.list(3, true, MEMBER_A, MEMBER_B));
+        ProxyFixture proxy = new ProxyFixture(polledConfig(oldDiscovery), engine)) {
       engine.awaitEvent(EndpointListUpdate.class);
       assertEquals(1, engine.awaitEvent(EndpointListUpdate.class).endpoints().size());
-      proxy.server.reload(() -> polled(fresh));
+      proxy.server.reload(() -> polledConfig(newDiscovery));
       EndpointListUpdate update = engine.awaitEvent(EndpointListUpdate.class);
       assertEquals(UpdateKind.FULL, update.kind());
       assertEquals(2, update.endpoints().size());
-      String request = fresh.requests.take();
+      String request = newDiscovery.requests.take();
       assertTrue(request.startsWith("GET /v1/servers?follow=1&since=2 HTTP/1.1\r\n"));
-      assertTrue(old.connections.take().awaitScriptEnd(), "nothing is left at the old address");
+      assertTrue(
+          oldDiscovery.connections.take().awaitScriptEnd(), "nothing is left at the old address");
     }
   }
 
   /** An invalid file must neither end the proxy nor leave it without discovery. */
   @Test
   void changesNothingWhereTheFileCannotBeRead() throws Exception {
-    ScriptedEngine engine = watching();
-    try (FakeServer discovery = discovery(ProxyFixture.list(2, true, A));
-        ProxyFixture proxy = new ProxyFixture(polled(discovery), engine)) {
+    ScriptedEngine engine = watchingEngine();
+    try (FakeServer discovery = discovery(ProxyFixture.list(2, true, MEMBER_A));
+        ProxyFixture proxy = new ProxyFixture(polledConfig(discovery), engine)) {
       engine.awaitEvent(EndpointListUpdate.class);
       engine.awaitEvent(EndpointListUpdate.class);
       proxy.server.reload(() -> BalancerConfig.parse("{\"name\":", Map.of()));
@@ -113,28 +114,29 @@
   /** Each signal has a thread of its own: the file that was read first must not be applied last. */
   @Test
   void appliesTheLaterFileOfTwoReloadsAtOnce() throws Exception {
-    try (FakeServer old = new FakeServer(FakeServer.Connection::readRequest);
-        FakeServer next = new FakeServer(FakeServer.Connection::readRequest);
-        FakeServer last = new FakeServer(FakeServer.Connection::readRequest);
+    try (FakeServer oldDiscovery = new FakeServer(FakeServer.Connection::readRequest);
+        FakeServer firstReloaded = new FakeServer(FakeServer.Connection::readRequest);
+        FakeServer lastReloaded = new FakeServer(FakeServer.Connection::readRequest);
         ProxyFixture proxy =
-            new ProxyFixture(pushed(old), new ScriptedEngine((event, actions) -> {}))) {
-      Thread second = new Thread(() -> proxy.server.reload(() -> pushed(last)));
+            new ProxyFixture(
+                pushedConfig(oldDiscovery), new ScriptedEngine((event, actions) -> {}))) {
+      Thread secondReload = new Thread(() -> proxy.server.reload(() -> pushedConfig(lastReloaded)));
       proxy.server.reload(
           () -> {
-            second.start();
+            secondReload.start();
             // The second signal's thread has either applied its file, or waits for this one to be
             // through.
-            while (second.getState() != Thread.State.BLOCKED
-                && second.getState() != Thread.State.TERMINATED) {
+            while (secondReload.getState() != Thread.State.BLOCKED
+                && secondReload.getState() != Thread.State.TERMINATED) {
               Thread.onSpinWait();
             }
-            return pushed(next);
+            return pushedConfig(firstReloaded);
           });
-      second.join();
+      secondReload.join();
       // Applied last it is watched from here on: its agents end every watch, and each end brings
       // the next one.
-      last.requests.clear();
-      assertNotNull(last.requests.poll(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS));
+      lastReloaded.requests.clear();
+      assertNotNull(lastReloaded.requests.poll(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS));
     }
   }
 
@@ -143,7 +145,7 @@
   void prefersTheFileToTheEnvironment() throws Exception {
     String text =
         ProxyFixture.configText(
-            "127.0.0.1:8501", ProxyFixture.list(1, true, A), "on_request", 200, 1024, "");
+            "127.0.0.1:8501", ProxyFixture.list(1, true, MEMBER_A), "on_request", 200, 1024, "");
     Map<String, String> environment =
         Map.of("ROUTER_DISCOVERY", "127.0.0.1:8500", "ROUTER_NAME", "n7");
     assertEquals(8501, BalancerConfig.parse(text, environment).discoveryAddress().getPort());
--- a/src/test/java/loadbalancer/proxy/RemainingTimeTest.java
+++ b/src/test/java/loadbalancer/proxy/RemainingTimeTest.java
@@ -39,24 +39,24 @@
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
 class RemainingTimeTest {
 
-  private static final String NOWHERE = "127.0.0.1:1";
-  private static final long LONG = TimeUnit.SECONDS.toNanos(30);
-  private static final Pattern TOLD =
+  private static final String UNREACHABLE_ADDRESS = "127.0.0.1:1";
+  private static final long LONG_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(30);
+  private static final Pattern TIMEOUT_HEADER =
       Pattern.compile("X-Expires-In-Ms: (\\d+)\r\n", Pattern.CASE_INSENSITIVE);
 
-  private static long told(String request) {
-    Matcher told = TOLD.matcher(request);
-    assertTrue(told.find(), request);
-    return Long.parseLong(told.group(1));
+  private static long announcedMillis(String request) {
+    Matcher matcher = TIMEOUT_HEADER.matcher(request);
+    assertTrue(matcher.find(), request);
+    return Long.parseLong(matcher.group(1));
   }
 
-  private static long millisSince(long from) {
-    return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - from);
+  private static long millisSince(long startNanos) {
+    return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos);
   }
 
-  private static BalancerConfig two(String first, String second) throws IOException {
+  private static BalancerConfig twoEndpointConfig(String first, String second) throws IOException {
     return ProxyFixture.config(
-        NOWHERE,
+        UNREACHABLE_ADDRESS,
         ProxyFixture.list(
             1,
             true,
@@ -74,7 +74,8 @@
    */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void announcesTheTimeLeftWhenAConnectionIsEstablishedLate(boolean further) throws Exception {
+  void announcesTheTimeLeftWhenAConnectionIsEstablishedLate(boolean isFurtherAttempt)
+      throws Exception {
     ScriptedEngine engine =
         new ScriptedEngine(
             (event, out) -> {
@@ -82,36 +83,40 @@
                 out.accept(
                     new StartAttempt(
                         arrived.requestId(),
-                        DiscoveryMessages.endpointId(further ? "s-1" : "s-2"),
+                        DiscoveryMessages.endpointId(isFurtherAttempt ? "s-1" : "s-2"),
                         0));
-              } else if (event instanceof AttemptEnded ended && further && ended.attempt() == 0) {
+              } else if (event instanceof AttemptEnded ended
+                  && isFurtherAttempt
+                  && ended.attempt() == 0) {
                 out.accept(
                     new StartAttempt(ended.requestId(), DiscoveryMessages.endpointId("s-2"), 0));
               } else if (event instanceof AttemptEnded ended && !ended.isRequestAnswered()) {
                 out.accept(new FailRequest(ended.requestId()));
               }
             });
-    try (FakeServer full =
+    try (FakeServer rejecting =
             FakeServer.respondingWith(
                 "HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n");
         UnresponsiveUpstream late = new UnresponsiveUpstream();
-        ProxyFixture proxy = new ProxyFixture(two(full.address(), late.address()), engine);
+        ProxyFixture proxy =
+            new ProxyFixture(twoEndpointConfig(rejecting.address(), late.address()), engine);
         Client client = proxy.client()) {
-      long from = System.nanoTime();
+      long startNanos = System.nanoTime();
       client.write(ProxyFixture.get("t", "X-Expires-In-Ms: 30000\r\n"));
       engine.awaitEvent(RequestArrived.class);
-      if (further) {
+      if (isFurtherAttempt) {
         assertEquals(AttemptStatus.REJECTED, engine.awaitEvent(AttemptEnded.class).status());
       }
       // The lateness itself is what is tested: the backlog has no room before this is over.
       Thread.sleep(400);
-      long passed = millisSince(from);
+      long elapsedMillis = millisSince(startNanos);
       try (Socket connection = late.accept()) {
-        long told = told(FakeServer.MessageReader.read(connection.getInputStream()));
+        long announced =
+            announcedMillis(FakeServer.MessageReader.read(connection.getInputStream()));
         assertTrue(
-            told <= 30_000 - passed,
-            "told " + told + " ms of 30000 when " + passed + " had passed");
-        assertTrue(told > 0, "told " + told);
+            announced <= 30_000 - elapsedMillis,
+            "told " + announced + " ms of 30000 when " + elapsedMillis + " had passed");
+        assertTrue(announced > 0, "told " + announced);
         connection.getOutputStream().write(FakeServer.ok("x").getBytes(StandardCharsets.US_ASCII));
         assertTrue(client.readResponse().startsWith("HTTP/1.1 200 "));
       }
@@ -131,10 +136,10 @@
         new ScriptedEngine(
             (event, out) -> {
               if (event instanceof RequestArrived arrived && arrived.workHintNanos() > 0) {
-                long from = System.nanoTime();
+                long startNanos = System.nanoTime();
                 try {
                   accepted.complete(upstream.get().accept());
-                  Thread.sleep(Math.max(0, waitMillis + 100 - millisSince(from)));
+                  Thread.sleep(Math.max(0, waitMillis + 100 - millisSince(startNanos)));
                 } catch (IOException | InterruptedException e) {
                   accepted.completeExceptionally(e);
                 }
@@ -147,7 +152,8 @@
               }
             });
     try (UnresponsiveUpstream late = new UnresponsiveUpstream();
-        ProxyFixture proxy = new ProxyFixture(two(NOWHERE, late.address()), engine);
+        ProxyFixture proxy =
+            new ProxyFixture(twoEndpointConfig(UNREACHABLE_ADDRESS, late.address()), engine);
         Client client = proxy.client();
         Client other = proxy.client()) {
       upstream.set(late);
@@ -168,38 +174,46 @@
    */
   @Test
   void countsTheTimeThatPipelinedRequestsWaitForTheirTurn() throws Exception {
-    CountDownLatch cue = new CountDownLatch(1);
+    CountDownLatch responseAllowed = new CountDownLatch(1);
     try (FakeServer upstream =
             new FakeServer(
                 c -> {
                   while (c.readRequest() != null) {
-                    cue.await();
+                    responseAllowed.await();
                     c.write(FakeServer.ok("x"));
                   }
                 });
         ProxyFixture proxy =
-            new ProxyFixture(two(upstream.address(), NOWHERE), new ScriptedEngine(LONG));
+            new ProxyFixture(
+                twoEndpointConfig(upstream.address(), UNREACHABLE_ADDRESS),
+                new ScriptedEngine(LONG_TIMEOUT_NANOS));
         Client client = proxy.client()) {
       client.write(
           ProxyFixture.get("first", "")
               + ProxyFixture.get("brief", "X-Expires-In-Ms: 300\r\n")
               + ProxyFixture.get("patient", "X-Expires-In-Ms: 30000\r\n"));
       assertNotNull(upstream.requests.poll(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS));
-      long from = System.nanoTime(); // All three have come by now: they are one small write.
+      long startNanos = System.nanoTime(); // All three have come by now: they are one small write.
       Thread.sleep(400); // The time itself is what is tested.
-      long passed = millisSince(from);
-      cue.countDown();
+      long elapsedMillis = millisSince(startNanos);
+      responseAllowed.countDown();
       assertTrue(client.readResponse().startsWith("HTTP/1.1 200 "));
-      String brief = client.readResponse();
-      assertTrue(brief.startsWith("HTTP/1.1 50") || brief.startsWith("HTTP/1.1 429 "), brief);
+      String expiredResponse = client.readResponse();
+      assertTrue(
+          expiredResponse.startsWith("HTTP/1.1 50") || expiredResponse.startsWith("HTTP/1.1 429 "),
+          expiredResponse);
       assertTrue(client.readResponse().startsWith("HTTP/1.1 200 "));
-      String patient = upstream.requests.take();
+      String forwardedRequest = upstream.requests.take();
       assertTrue(
-          patient.contains("X-Trace-Id: patient\r\n"),
-          "its time was over, and it was sent on: " + patient);
+          forwardedRequest.contains("X-Trace-Id: patient\r\n"),
+          "its time was over, and it was sent on: " + forwardedRequest);
       assertTrue(
-          told(patient) <= 30_000 - passed,
-          "told " + told(patient) + " ms of 30000 when " + passed + " had passed");
+          announcedMillis(forwardedRequest) <= 30_000 - elapsedMillis,
+          "told "
+              + announcedMillis(forwardedRequest)
+              + " ms of 30000 when "
+              + elapsedMillis
+              + " had passed");
       assertNull(upstream.requests.poll());
     }
   }
--- a/src/test/java/loadbalancer/proxy/RequestDispatcherTest.java
+++ b/src/test/java/loadbalancer/proxy/RequestDispatcherTest.java
@@ -35,10 +35,10 @@
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
 class RequestDispatcherTest {
 
-  private static final String NOWHERE = "127.0.0.1:1";
+  private static final String UNREACHABLE_ADDRESS = "127.0.0.1:1";
 
-  private static BalancerConfig noEndpoints() throws IOException {
-    return ProxyFixture.config(NOWHERE, ProxyFixture.list(1, true));
+  private static BalancerConfig noEndpointsConfig() throws IOException {
+    return ProxyFixture.config(UNREACHABLE_ADDRESS, ProxyFixture.list(1, true));
   }
 
   @Test
@@ -50,7 +50,7 @@
                 actions.accept(new FailRequest(request.requestId()));
               }
             });
-    try (ProxyFixture proxy = new ProxyFixture(noEndpoints(), engine);
+    try (ProxyFixture proxy = new ProxyFixture(noEndpointsConfig(), engine);
         Client client = proxy.client()) {
       String response =
           client.exchange(
@@ -77,7 +77,7 @@
   @Test
   void completesARequestThatTheEngineForgetsBeforeItsDeadline() throws Exception {
     ScriptedEngine engine = new ScriptedEngine((event, actions) -> {});
-    try (ProxyFixture proxy = new ProxyFixture(noEndpoints(), engine);
+    try (ProxyFixture proxy = new ProxyFixture(noEndpointsConfig(), engine);
         Client client = proxy.client()) {
       String response = client.exchange(ProxyFixture.get("t", "X-Expires-In-Ms: 300\r\n"));
       assertTrue(response.startsWith("HTTP/1.1 504 "));
@@ -100,7 +100,7 @@
                 actions.accept(new RejectRequest(request.requestId(), 0));
               }
             });
-    try (ProxyFixture proxy = new ProxyFixture(noEndpoints(), engine);
+    try (ProxyFixture proxy = new ProxyFixture(noEndpointsConfig(), engine);
         Client held = proxy.client();
         Client bad = proxy.client()) {
       held.write(ProxyFixture.get("held", ""));
@@ -135,7 +135,8 @@
               + peerAddress
               + ",";
       BalancerConfig config =
-          ProxyFixture.config(NOWHERE, ProxyFixture.list(1, true), "on_request", 200, 1024, more);
+          ProxyFixture.config(
+              UNREACHABLE_ADDRESS, ProxyFixture.list(1, true), "on_request", 200, 1024, more);
       try (ProxyFixture proxy = new ProxyFixture(config, engine);
           Client client = proxy.client()) {
         client.write(ProxyFixture.get("t", ""));
@@ -170,7 +171,7 @@
             (event, actions) -> {
               if (event instanceof RequestArrived request && request.workHintNanos() > 0) {
                 held.countDown();
-                holdUp(written);
+                blockEventLoop(written);
                 actions.accept(new RejectRequest(request.requestId(), 0));
               } else if (event instanceof RequestArrived request) {
                 actions.accept(
@@ -183,7 +184,7 @@
         ProxyFixture proxy =
             new ProxyFixture(
                 ProxyFixture.config(
-                    NOWHERE,
+                    UNREACHABLE_ADDRESS,
                     ProxyFixture.list(
                         1, true, ProxyFixture.member("s-1", upstream.address(), "ready"))),
                 engine);
@@ -203,7 +204,7 @@
   /**
    * Holds the loop up for longer than the brief request's time, counted from when that was written.
    */
-  private static void holdUp(CountDownLatch written) {
+  private static void blockEventLoop(CountDownLatch written) {
     try {
       written.await();
       Thread.sleep(500);
--- a/src/test/java/loadbalancer/proxy/StartupTest.java
+++ b/src/test/java/loadbalancer/proxy/StartupTest.java
@@ -17,7 +17,7 @@
 import loadbalancer.decision.api.Settings;
 import loadbalancer.decision.api.UpdateKind;
 import loadbalancer.discovery.DiscoveryClient;
-import loadbalancer.proxy.WarmUp.Count;
+import loadbalancer.proxy.WarmUp.Result;
 import loadbalancer.testing.DiscoveryMessages;
 import loadbalancer.testing.FakeServer;
 import loadbalancer.testing.ProxyFixture;
@@ -46,7 +46,7 @@
     return BalancerConfig.parse(text, Map.of()).settings();
   }
 
-  private static BalancerConfig pushed(FakeServer discovery) throws IOException {
+  private static BalancerConfig pushedConfig(FakeServer discovery) throws IOException {
     return ProxyFixture.config(
         discovery.address(), ProxyFixture.list(1, true, READY), "pushed", 200, 1024, "");
   }
@@ -78,7 +78,7 @@
    */
   @Test
   void warmUpThatIsCutShortSendsNothingMore() throws IOException {
-    Count count = WarmUp.run(settings(), 0);
+    Result count = WarmUp.run(settings(), 0);
     assertTrue(count.sent() < WarmUp.MAX_REQUESTS, () -> "went on after its end: " + count);
   }
 
@@ -89,8 +89,8 @@
   @Test
   void warmUpEndpointsServeEveryRequest() throws IOException {
     Settings settings = ProxyFixture.config("127.0.0.1:1", ProxyFixture.list(1, true)).settings();
-    Count count = WarmUp.run(settings, LONG_MILLIS);
-    assertEquals(new Count(WarmUp.MAX_REQUESTS, WarmUp.MAX_REQUESTS, WarmUp.MAX_REQUESTS), count);
+    Result count = WarmUp.run(settings, LONG_MILLIS);
+    assertEquals(new Result(WarmUp.MAX_REQUESTS, WarmUp.MAX_REQUESTS, WarmUp.MAX_REQUESTS), count);
   }
 
   /**
@@ -116,7 +116,7 @@
             })) {
       ProxyServer server =
           ProxyServer.prepare(
-              pushed(discovery),
+              pushedConfig(discovery),
               generation -> engine,
               TimeUnit.SECONDS.toMillis(ProxyFixture.TIMEOUT_SECONDS));
       prepared.countDown();
@@ -139,7 +139,7 @@
               connection.readRequest();
               connection.awaitClose();
             })) {
-      ProxyServer server = ProxyServer.prepare(pushed(discovery), generation -> engine, 100);
+      ProxyServer server = ProxyServer.prepare(pushedConfig(discovery), generation -> engine, 100);
       server.listen();
       try (Client client = new Client(server)) {
         String health = client.exchange("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
