--- a/src/main/java/loadbalancer/proxy/ActionExecutor.java
+++ b/src/main/java/loadbalancer/proxy/ActionExecutor.java
@@ -26,7 +26,7 @@
 import loadbalancer.upstream.ConnectionPool;
 
 /**
- * Carries out the decision engine's actions, each at once and in order. Confined to the event loop.
+ * Carries out the decision engine's actions immediately and in order. Confined to the event loop.
  */
 final class ActionExecutor implements Consumer<Action> {
 
@@ -75,7 +75,7 @@
   /**
    * Carries out an action.
    *
-   * @throws IllegalStateException where the engine starts an attempt of a request that is not in
+   * @throws IllegalStateException if the action starts an attempt of a request that is not in
    *     flight
    */
   @Override
@@ -109,12 +109,14 @@
     ProxiedRequest request = requests.find(requestId);
     if (request == null) {
       throw new IllegalStateException(
-          "attempt of request " + requestId + ", which is not in flight");
+          "engine started an attempt of request " + requestId + ", which is not in flight");
     }
     return request;
   }
 
-  /** Rejects a request; where that would be no harmless answer it fails instead. */
+  /**
+   * Rejects a request with 429, or fails it with 500 if a repeat by the client could run it twice.
+   */
   private void reject(RejectRequest reject) {
     ProxiedRequest request = requests.find(reject.requestId());
     if (request != null && !request.isCompleted() && !guard.canReject(request)) {
@@ -124,7 +126,10 @@
     }
   }
 
-  /** Gives a request its final response, unless it is completed. */
+  /**
+   * Sends the final response of a request unless it is completed, and removes the request once no
+   * attempt is in flight.
+   */
   private void respond(String requestId, HttpResponseStatus status, long retryAfterNanos) {
     ProxiedRequest request = requests.find(requestId);
     if (request != null && !request.isCompleted()) {
@@ -133,9 +138,7 @@
     requests.removeIfFinished(requestId);
   }
 
-  /**
-   * Schedules a timer; it is dropped if the engine that set it has been replaced when it comes due.
-   */
+  /** Schedules a timer. It is dropped when it fires if the engine that set it has been replaced. */
   private void setTimer(SetTimer timer) {
     long generation = events.engineGeneration();
     loop.schedule(
--- a/src/main/java/loadbalancer/proxy/AttemptGuard.java
+++ b/src/main/java/loadbalancer/proxy/AttemptGuard.java
@@ -11,10 +11,10 @@
 import loadbalancer.telemetry.RequestTrace;
 
 /**
- * The one guard on what goes to endpoints, asked right before an attempt's first byte. Since it was
- * decided a connection may have taken long to come up, and events may be queued that the engine has
- * not handled yet. It also guards the promises that a rejection makes, whatever the engine decides.
- * Confined to the event loop.
+ * The final check of every attempt, made immediately before its first byte is written. Since the
+ * engine's decision the connection may have taken long to establish, and events may be queued that
+ * the engine has not handled yet. It also checks, whatever the engine decides, that the client may
+ * safely repeat a request that is rejected. Confined to the event loop.
  */
 final class AttemptGuard {
 
@@ -31,9 +31,10 @@
   }
 
   /**
-   * Whether an attempt may be written now; counts why not.
+   * Returns whether an attempt may be written now, and counts the reason if it may not.
    *
-   * @param writeDeadline clock reading at which its time, or the dedup window of those before it, is over
+   * @param writeDeadline clock reading at which the attempt's time or the dedup window of an
+   *     earlier attempt ends
    */
   boolean canWrite(ProxiedRequest request, ProxiedAttempt attempt, long writeDeadline) {
     AttemptRefusal refusal = refusal(request, attempt, writeDeadline);
@@ -64,7 +65,10 @@
         : null;
   }
 
-  /** Whether a rejection, by which the client may repeat the request, keeps what it promises. */
+  /**
+   * Returns whether a request may be rejected. The client may send a rejected request again to any
+   * endpoint, so it must not have run or must be safe to run twice. Logs a violation otherwise.
+   */
   boolean canReject(ProxiedRequest request) {
     boolean couldRunTwice = request.mayHaveRun() && !canRepeatAnywhere(request.requestClass());
     if (couldRunTwice) {
@@ -81,7 +85,10 @@
     };
   }
 
-  /** The engine wanted to break a rule: a defect, which has been prevented. */
+  /**
+   * Logs a decision of the engine that would have broken an invariant and was not carried out. This
+   * is a defect of the engine.
+   */
   private static void reportViolation(String rule, ProxiedRequest request) {
     LOG.severe(
         "invariant_violated rule="
--- a/src/main/java/loadbalancer/proxy/AttemptRunner.java
+++ b/src/main/java/loadbalancer/proxy/AttemptRunner.java
@@ -29,9 +29,10 @@
   private final RequestTrace trace;
 
   /**
-   * Makes a runner without attempts.
+   * Creates a runner without attempts.
    *
-   * @param maxAttempts attempts of one request, the first included; what goes beyond is not sent
+   * @param maxAttempts maximum number of attempts of one request, including the first; further ones
+   *     are not sent
    */
   AttemptRunner(
       MonotonicClock clock,
@@ -56,7 +57,10 @@
     this.trace = trace;
   }
 
-  /** Starts an attempt; exactly one {@link AttemptEnded} follows while the request is in flight. */
+  /**
+   * Starts an attempt. Exactly one {@link AttemptEnded} event follows, unless the engine is
+   * replaced before.
+   */
   void start(ProxiedRequest request, StartAttempt action) {
     long now = clock.nowNanos();
     long endpointId = action.endpointId();
@@ -65,7 +69,7 @@
     long timeout =
         action.timeoutNanos() == 0 ? remaining : Math.min(remaining, action.timeoutNanos());
     long attemptDeadline = now + timeout;
-    // Computed before this attempt is added: the window of the attempts before it counts.
+    // Computed before this attempt is added, as only the dedup windows of earlier attempts count.
     long writeDeadline = Math.min(attemptDeadline, request.dedupDeadlineNanos());
     UpstreamCall call =
         new UpstreamCall(
@@ -90,7 +94,7 @@
     }
   }
 
-  /** Cancels an attempt; a no-op where it has ended or its request is no longer in flight. */
+  /** Cancels an attempt; a no-op if it has ended or its request is no longer in flight. */
   void cancel(String requestId, int attempt) {
     ProxiedRequest request = requests.find(requestId);
     if (request != null) {
@@ -113,12 +117,12 @@
     attempt.recordEnd(status, clock.nowNanos());
     trace.attemptEnded(status);
     Map<String, Double> loadReport = loadReports.read(response);
-    // The pool releases its reference when this returns, and the event waits for its turn.
+    // The pool releases its reference when this method returns; the event is delivered later.
     FullHttpResponse retained = status == AttemptStatus.SUCCESS ? response.retain() : null;
     events.enqueue(new PendingAttemptEnd(request, attempt, retained, loadReport));
   }
 
-  /** The end of an attempt, whose turn has not come; holds the response, if one came. */
+  /** The queued end of an attempt. Holds a reference to the response, if there is one. */
   private final class PendingAttemptEnd implements EventQueue.PendingEvent {
 
     private final ProxiedRequest request;
@@ -149,11 +153,12 @@
   }
 
   /**
-   * Gives the client the response that came, if it is the first, and words the attempt's end for
-   * the engine.
+   * Forwards the response to the client unless the request is completed, and returns the attempt's
+   * end as an event for the engine. The request of a half-closed client is completed once no
+   * attempt of it is in flight.
    *
-   * @param response released here; null where none came
-   * @return null where the request is no longer in flight
+   * @param response released here; null if there is none
+   * @return null if the request is no longer in flight
    */
   private Event deliverEnd(
       ProxiedRequest request,
--- a/src/main/java/loadbalancer/proxy/ClassArchiveTraining.java
+++ b/src/main/java/loadbalancer/proxy/ClassArchiveTraining.java
@@ -5,15 +5,15 @@
 import loadbalancer.telemetry.BackgroundLogHandler;
 
 /**
- * Run by the build to record the classes that a proxy loads: starts one and shuts it down again.
- * With the archive made of them a start need not read and verify each class, which else takes most
- * of a process's first second.
+ * Run by the build to record the classes that a proxy loads: starts a proxy and shuts it down
+ * again. With the class archive made from that record, a start need not read and verify each class,
+ * which otherwise takes most of a process's first second.
  */
 final class ClassArchiveTraining {
 
   private ClassArchiveTraining() {}
 
-  /** The only argument is the path of a configuration file. */
+  /** Starts and shuts down a proxy. The only argument is the path of its configuration file. */
   public static void main(String[] args) throws IOException {
     BackgroundLogHandler.install(System.err);
     ProxyServer server =
--- a/src/main/java/loadbalancer/proxy/ConfigurationFile.java
+++ b/src/main/java/loadbalancer/proxy/ConfigurationFile.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import loadbalancer.config.BalancerConfig;
 
-/** Reads the configuration file, again where the system fails to for a moment. */
+/** Reads the configuration file, and repeats the read after transient failures. */
 final class ConfigurationFile {
 
   private ConfigurationFile() {}
@@ -13,7 +13,7 @@
    * Reads the file that the environment names.
    *
    * @throws IOException if it cannot be read
-   * @throws loadbalancer.config.ConfigurationException if it cannot be used
+   * @throws loadbalancer.config.ConfigurationException if its content is invalid
    */
   static BalancerConfig read(Map<String, String> environment) throws IOException {
     return TransientFailures.retry(
--- a/src/main/java/loadbalancer/proxy/ConfigurationFileWatcher.java
+++ b/src/main/java/loadbalancer/proxy/ConfigurationFileWatcher.java
@@ -7,39 +7,42 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Has the configuration read again when its file changes. Only for a process that was started with
- * SIGHUP ignored, as {@code nohup} does: the virtual machine leaves an ignored signal ignored, so a
- * reload would never be noticed.
+ * Triggers a reload when the configuration file changes. Used only in a process that was started
+ * with SIGHUP ignored, as by {@code nohup}: the virtual machine leaves an ignored signal ignored,
+ * so that SIGHUP cannot trigger the reload.
  */
 final class ConfigurationFileWatcher implements Runnable {
 
-  /** What discovery has to tell counts 4 s after a change: several checks fit into that. */
+  /**
+   * Updates from a new discovery address apply 4 s after the configuration has changed; several
+   * checks fit into that time.
+   */
   private static final long CHECK_INTERVAL_MILLIS = 500;
 
   private final Path file;
   private final Runnable reload;
   private Version loadedVersion;
 
-  /** A file as it was found; null stands for one that could not be looked at. */
+  /** The attributes of a version of the file; null stands for a file that could not be read. */
   private record Version(long modifiedMillis, long size) {
 
     static Version of(Path file) {
       try {
         return new Version(Files.getLastModifiedTime(file).toMillis(), Files.size(file));
       } catch (IOException e) {
-        return null; // Between two files, say: it is looked at again.
+        return null; // The file may be about to be replaced; the next check reads it again.
       }
     }
   }
 
-  /** Takes the file as it is now for known. */
+  /** Creates a watcher that regards the present version of the file as loaded. */
   ConfigurationFileWatcher(Path file, Runnable reload) {
     this.file = file;
     this.reload = reload;
     loadedVersion = Version.of(file);
   }
 
-  /** Checks the file on a thread of its own until the process ends. */
+  /** Starts a daemon thread that checks the file until the process ends. */
   void start() {
     Thread thread = new Thread(this, "configuration-file-watcher");
     thread.setDaemon(true);
--- a/src/main/java/loadbalancer/proxy/ConfigurationReloader.java
+++ b/src/main/java/loadbalancer/proxy/ConfigurationReloader.java
@@ -7,7 +7,7 @@
 import loadbalancer.config.BalancerConfig;
 import loadbalancer.telemetry.LogValues;
 
-/** Reads the configuration again while the proxy serves. Safe for use by any thread. */
+/** Reloads the configuration while the proxy is running. Safe for use by any thread. */
 final class ConfigurationReloader {
 
   private static final Logger LOG = Logger.getLogger(ConfigurationReloader.class.getName());
@@ -20,17 +20,17 @@
     this.discovery = discovery;
   }
 
-  /** Where a configuration is read from. */
+  /** A source of configurations. */
   interface Source {
     BalancerConfig read() throws IOException;
   }
 
   /**
-   * Reads the configuration and follows discovery to the address in it; everything else waits for a
-   * restart. A configuration that cannot be read changes nothing.
+   * Reads the configuration and switches discovery to the address in it; all other changes take
+   * effect at the next restart. A configuration that cannot be read changes nothing.
    *
-   * <p>Reads one at a time: each signal has a thread of its own, and what was read first must not
-   * be applied last.
+   * <p>Reloads run one at a time: each signal is handled on its own thread, and a configuration
+   * that was read earlier must not be applied after a later one.
    */
   synchronized void reload(Source source) {
     try {
--- a/src/main/java/loadbalancer/proxy/DiscoveryWatch.java
+++ b/src/main/java/loadbalancer/proxy/DiscoveryWatch.java
@@ -16,9 +16,9 @@
 import loadbalancer.discovery.EndpointSource;
 
 /**
- * Owns the discovery client and passes its updates on. Where the list is pushed by an agent on this
- * machine it also owns the watch and its retries; where the list is polled, the decision engine
- * does. Confined to the event loop, except for {@link #awaitFirstUpdate}.
+ * Owns the discovery client and passes its updates to the dispatcher. If the list is pushed by an
+ * agent on this machine, it also owns the watch and its retries; if the list is polled, the
+ * decision engine does. Confined to the event loop, except for {@link #awaitFirstUpdate}.
  */
 final class DiscoveryWatch {
 
@@ -26,7 +26,7 @@
 
   private static final int CONNECT_TIMEOUT_MILLIS = 1000;
 
-  /** How often a discovery is asked again that has sent an outdated list. */
+  /** Interval at which the watch is reopened while discovery sends outdated lists. */
   private static final long OUTDATED_LIST_RETRY_MILLIS = 500;
 
   private final EventLoop loop;
@@ -40,11 +40,11 @@
   private boolean isOutdatedListRetryScheduled;
 
   /**
-   * Makes a client that has not called discovery yet.
+   * Creates a watch that has not called discovery yet.
    *
-   * @param bootstrap makes connections on the event loop
+   * @param bootstrap opens connections on the event loop
    * @param pushed whether the list is pushed by an agent on this machine, instead of polled
-   * @param drainGraceNanos how long after the agent knows of it a drain has to be heeded
+   * @param drainGraceNanos time after the agent learns of a drain within which it has to be applied
    */
   DiscoveryWatch(
       EventLoop loop,
@@ -67,7 +67,10 @@
             this::handleUpdate);
   }
 
-  /** Where the list is polled, the calls wait in a queue: only the first list counts. */
+  /**
+   * Returns the time limit for the first byte of a response. A polled list has none: the calls wait
+   * in a queue at discovery, and only the time until the first list is limited.
+   */
   private static long firstByteMillis(boolean pushed, long drainGraceNanos) {
     return pushed
         ? DiscoveryTimeouts.agentFirstByteTimeoutMillis(
@@ -75,12 +78,14 @@
         : Long.MAX_VALUE;
   }
 
-  /** What the decision engine's actions on the endpoint list go to. */
+  /**
+   * Returns the source on which the decision engine's actions on the endpoint list are carried out.
+   */
   EndpointSource source() {
     return client;
   }
 
-  /** Passes updates on from here on; starts the watch where the list is pushed. */
+  /** Starts passing updates to a dispatcher, and opens the watch if the list is pushed. */
   void start(RequestDispatcher dispatcher) {
     this.dispatcher = dispatcher;
     if (pushed) {
@@ -88,14 +93,14 @@
     }
   }
 
-  /** Follows discovery to another address. */
+  /** Switches to another discovery address. */
   void changeAddress(InetSocketAddress address) {
     client.changeAddress(address);
   }
 
   /**
-   * Blocks until discovery has sent a list, for no longer than this; false if it has not. For any
-   * other thread.
+   * Blocks until discovery has sent a list or the time is over, and returns whether it has sent
+   * one. Must not be called on the event loop.
    */
   boolean awaitFirstUpdate(long nanos) {
     return Latches.await(firstUpdate, nanos);
@@ -132,7 +137,7 @@
 
   private void retryWatch() {
     long backoffMillis = AgentRetryPolicy.backoffMillis(consecutiveFailures++, drainGraceNanos);
-    // Spread, so that the instances on a machine do not all call their agent at the same time.
+    // Randomized, so that the instances on a machine do not all call their agent at the same time.
     long delayMillis = ThreadLocalRandom.current().nextLong(backoffMillis / 2, backoffMillis);
     loop.schedule(client::resumeWatch, delayMillis, TimeUnit.MILLISECONDS);
   }
--- a/src/main/java/loadbalancer/proxy/EngineRunner.java
+++ b/src/main/java/loadbalancer/proxy/EngineRunner.java
@@ -17,7 +17,7 @@
 import loadbalancer.telemetry.BackgroundLogHandler;
 
 /**
- * Owns the decision engine: hands it one event at a time, and replaces it when it fails. Confined
+ * Owns the decision engine: passes it one event at a time, and replaces it when it fails. Confined
  * to the event loop.
  */
 final class EngineRunner implements Consumer<Event> {
@@ -36,9 +36,9 @@
   private DecisionEngine engine;
 
   /**
-   * Makes the first engine.
+   * Creates the first engine.
    *
-   * @param engineFactory makes the engine of a generation, counted from 0
+   * @param engineFactory creates the engine of a generation, counted from 0
    * @param actions carries out the engine's actions
    */
   EngineRunner(
@@ -63,7 +63,7 @@
     engine = engineFactory.apply(events.engineGeneration());
   }
 
-  /** Has the engine handle an event, and carries out the actions that follow. */
+  /** Passes an event to the engine and carries out the resulting actions. */
   @Override
   public void accept(Event event) {
     try {
@@ -85,15 +85,16 @@
   }
 
   /**
-   * Recovers from an engine that threw, whose state is undefined: every request in flight gets its
-   * final response, and a new engine starts from the endpoint list as it is known. An engine that
-   * fails on its first event would do so forever; the process ends instead.
+   * Replaces an engine that has thrown an exception, as its state is undefined: every request in
+   * flight gets its final response, and a new engine starts from the current endpoint list. If the
+   * engine has failed on its first event, every new one would fail too, so the process ends
+   * instead.
    */
   private void recover(Event failedEvent) {
     if (failedEvent instanceof EndpointListUpdate update && update.kind() == UpdateKind.CACHED) {
       LOG.severe("engine_start_failed process=ends");
       completer.failAll();
-      // In a later turn, after the responses have been written.
+      // In a later turn of the event loop, after the responses have been written.
       loop.execute(EngineRunner::endProcess);
       return;
     }
--- a/src/main/java/loadbalancer/proxy/EventQueue.java
+++ b/src/main/java/loadbalancer/proxy/EventQueue.java
@@ -6,22 +6,23 @@
 import loadbalancer.decision.api.Event;
 
 /**
- * The events that the decision engine has not been given yet, in the order in which they happened.
+ * The events that have not been delivered to the decision engine yet, in the order in which they
+ * occurred.
  *
- * <p>Delivery starts in a later turn of the event loop, once every socket with something to read
- * has been read. So no action goes to a connection whose end is known already, and no action
+ * <p>Delivery starts in a later turn of the event loop, after all readable sockets have been read.
+ * Thus no action is carried out on a connection whose end has already been read, and no action
  * re-enters the engine. Confined to the event loop.
  */
 final class EventQueue {
 
-  /** An event whose turn has not come. */
+  /** A queued event. */
   @FunctionalInterface
   interface PendingEvent {
 
-    /** The event, once its turn has come; null where it no longer applies by then. */
+    /** Returns the event when it is due for delivery; null if it no longer applies. */
     Event take();
 
-    /** Its turn will not come: releases what it holds. */
+    /** Releases the resources of an event that will not be delivered. */
     default void discard() {}
   }
 
@@ -36,10 +37,7 @@
     this.loop = loop;
   }
 
-  /**
-   * Names the receiver of all events; to be called once, before the first turn of the loop that
-   * delivers any.
-   */
+  /** Sets the receiver of all events. Must be called once, before the first delivery. */
   void deliverTo(Consumer<Event> receiver) {
     this.receiver = receiver;
   }
@@ -53,14 +51,14 @@
     }
   }
 
-  /** The number of the engine that the queued events are meant for, from 0. */
+  /** Returns the number of the engine that the queued events are meant for, counted from 0. */
   long engineGeneration() {
     return engineGeneration;
   }
 
   /**
-   * Drops all events, which were meant for an engine that failed, and returns the number of the
-   * next engine.
+   * Discards all queued events, as the engine that they were meant for has failed, and returns the
+   * number of the next engine.
    */
   long startNextGeneration() {
     pending.forEach(PendingEvent::discard);
--- a/src/main/java/loadbalancer/proxy/GracefulShutdown.java
+++ b/src/main/java/loadbalancer/proxy/GracefulShutdown.java
@@ -10,54 +10,60 @@
 import loadbalancer.downstream.DownstreamListener;
 
 /**
- * Ends a proxy's service without losing a request. Timetable, in milliseconds from SIGTERM:
+ * Shuts down a proxy without losing a request. The schedule, in milliseconds from SIGTERM:
  *
  * <ol>
- *   <li>At 0 health checks start to fail, and everything is still accepted and served.
- *   <li>At {@link #ACCEPT_MILLIS} the listener closes, or as soon as no connection waits for it.
- *   <li>At {@link #serveMillis} idle connections close, and every response closes its connection.
- *       From here on the shutdown is complete as soon as no connection is left.
- *   <li>At {@link #expiryMillis} everything that is still in flight gets its final response.
- *   <li>{@link #FLUSH_MILLIS} later the shutdown is complete in any case.
+ *   <li>At 0, health checks start to fail, while connections and requests are still accepted.
+ *   <li>From {@link #ACCEPT_MILLIS} on, the listener closes as soon as no connection waits in the
+ *       kernel's queue.
+ *   <li>At {@link #serveMillis}, idle connections close, and from then on a response with no
+ *       request behind it closes its connection. The shutdown is complete as soon as the listener
+ *       is closed and no connection is left.
+ *   <li>At {@link #expiryMillis}, every request that is still in flight or incomplete gets its
+ *       final response.
+ *   <li>{@link #FLUSH_MILLIS} after that, the shutdown is complete in any case.
  * </ol>
  *
- * <p>{@link #run} and the methods that wait are for any thread but the event loop's.
+ * <p>{@link #run} and the methods that wait must not be called on the event loop.
  */
 final class GracefulShutdown {
 
   private static final Logger LOG = Logger.getLogger(GracefulShutdown.class.getName());
 
   /**
-   * Clients open new connections for up to 0.4 s after SIGTERM; the rest is for an event loop that
-   * lags.
+   * Clients open new connections for up to 0.4 s after SIGTERM; the rest allows for event loop lag.
    */
   private static final long ACCEPT_MILLIS = 550;
 
   /**
-   * Clients go on using the connections that they have, and other instances may be away at the same
-   * time: they are served for as long as leaves time to complete what is then in flight.
+   * Clients keep using their open connections, and other instances may be down at the same time.
+   * These connections are served for as long as there is time left to complete the requests that
+   * are then in flight.
    */
   private static final long MAX_SERVE_MILLIS = 2200;
 
-  /** The least time between the end of service and the expiry, for what is then in flight. */
+  /**
+   * Minimum time between closing idle connections and the expiry, for the requests that are then in
+   * flight.
+   */
   private static final long MIN_COMPLETION_MILLIS = 400;
 
-  /** SIGKILL comes so long after SIGTERM, beyond the longest deadline of any class. */
+  /** SIGKILL follows SIGTERM after the longest deadline of any class plus this time. */
   private static final long KILL_AFTER_DEADLINE_MILLIS = 700;
 
-  /** Longer deadlines do not put SIGKILL off any further. */
+  /** Longer deadlines than this do not delay SIGKILL any further. */
   private static final long MAX_DEADLINE_MILLIS = 3000;
 
   /**
-   * The expiry comes so long before SIGKILL, as the event loop may lag. What came before SIGTERM
-   * has had all its time by then.
+   * Time between the expiry and SIGKILL, as the event loop may lag. Requests from before SIGTERM
+   * have reached their deadlines by the expiry, up to {@link #MAX_DEADLINE_MILLIS}.
    */
   private static final long KILL_MARGIN_MILLIS = 600;
 
-  /** Time between the expiry and the end, for the last responses to leave. */
+  /** Time between the expiry and the end of the shutdown, for the last responses to be sent. */
   private static final long FLUSH_MILLIS = 150;
 
-  /** How often the connections are counted once the service has ended. */
+  /** Interval at which the open connections are counted after idle ones were closed. */
   private static final long CONNECTION_CHECK_MILLIS = 20;
 
   private final EventLoop loop;
@@ -71,9 +77,10 @@
   private final CountDownLatch complete = new CountDownLatch(1);
 
   /**
-   * Prepares a shutdown.
+   * Creates a shutdown that has not started.
    *
-   * @param closeEventLoop ends the event loop at the shutdown's end; may return before it has ended
+   * @param closeEventLoop closes the event loop at the end of the shutdown; may return before the
+   *     loop has terminated
    */
   GracefulShutdown(
       EventLoop loop, ProxyComponents components, Settings settings, Runnable closeEventLoop) {
@@ -85,8 +92,9 @@
   }
 
   /**
-   * How long after SIGTERM everything in flight gets its final response: early enough before
-   * SIGKILL, which comes the sooner the shorter the deadlines are.
+   * Returns the time after SIGTERM at which every request in flight gets its final response: {@link
+   * #KILL_MARGIN_MILLIS} before SIGKILL, but not before {@link #ACCEPT_MILLIS}. SIGKILL comes the
+   * earlier, the shorter the deadlines are.
    */
   static long expiryMillis(Settings settings) {
     long longestNanos = 0;
@@ -98,13 +106,13 @@
     return Math.max(ACCEPT_MILLIS, killMillis - KILL_MARGIN_MILLIS);
   }
 
-  /** How long after SIGTERM requests are served on connections that stay open. */
+  /** Returns the time after SIGTERM until which idle connections stay open. */
   private long serveMillis() {
     return Math.max(
         ACCEPT_MILLIS, Math.min(MAX_SERVE_MILLIS, expiryMillis - MIN_COMPLETION_MILLIS));
   }
 
-  /** Shuts down and returns once that is complete. Called again it only waits. */
+  /** Shuts down and returns when the shutdown is complete. Further calls only wait for that. */
   void run() {
     if (!hasBegun.compareAndSet(false, true)) {
       awaitCompletion();
@@ -118,12 +126,12 @@
     complete.countDown();
   }
 
-  /** Blocks until a shutdown has started. */
+  /** Blocks until the shutdown has started. */
   void awaitStart() {
     Latches.await(started);
   }
 
-  /** Blocks until a shutdown is complete. */
+  /** Blocks until the shutdown is complete. */
   void awaitCompletion() {
     Latches.await(complete);
   }
--- a/src/main/java/loadbalancer/proxy/HealthChecker.java
+++ b/src/main/java/loadbalancer/proxy/HealthChecker.java
@@ -15,8 +15,8 @@
 final class HealthChecker {
 
   /**
-   * A check without a response by then has failed: an endpoint that is well responds within a few
-   * milliseconds.
+   * A check without a response within this time has failed; a healthy endpoint responds within a
+   * few milliseconds.
    */
   private static final long TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
 
@@ -39,7 +39,7 @@
     this.events = events;
   }
 
-  /** Checks an endpoint; one {@link HealthCheckResult} follows. */
+  /** Checks an endpoint; one {@link HealthCheckResult} event follows. */
   void check(long endpointId) {
     long startedAt = clock.nowNanos();
     UpstreamCall call =
--- a/src/main/java/loadbalancer/proxy/InFlightRequests.java
+++ b/src/main/java/loadbalancer/proxy/InFlightRequests.java
@@ -5,14 +5,14 @@
 import java.util.Map;
 
 /**
- * The requests in flight: those without a final response, and those of which an attempt is still in
- * flight. Confined to the event loop.
+ * The requests in flight: those without a final response, and those with an attempt in flight.
+ * Confined to the event loop.
  */
 final class InFlightRequests {
 
   private final Map<String, ProxiedRequest> byId = new HashMap<>();
 
-  /** The same requests by the ids that their clients gave them. */
+  /** The same requests by the trace ids that their clients assigned. */
   private final Map<String, ProxiedRequest> byTraceId = new HashMap<>();
 
   void add(ProxiedRequest request) {
@@ -20,12 +20,12 @@
     byTraceId.put(request.traceId(), request);
   }
 
-  /** The request with this id; null where none is in flight. */
+  /** Returns the request with an id; null if none is in flight. */
   ProxiedRequest find(String id) {
     return byId.get(id);
   }
 
-  /** The request with this trace id; null where none is in flight. */
+  /** Returns the request with a trace id; null if none is in flight. */
   ProxiedRequest findByTraceId(String traceId) {
     return byTraceId.get(traceId);
   }
@@ -42,13 +42,14 @@
     return byId.size();
   }
 
-  /** A copy, so that requests may be removed meanwhile. */
+  /** Returns a copy, so that requests may be removed while it is iterated over. */
   List<ProxiedRequest> all() {
     return List.copyOf(byId.values());
   }
 
   /**
-   * Removes a request, if it is still there, once it is completed and all its attempts have ended.
+   * Removes a request if it is completed and all its attempts have ended; a no-op for an unknown
+   * id.
    */
   void removeIfFinished(String id) {
     ProxiedRequest request = byId.get(id);
--- a/src/main/java/loadbalancer/proxy/Latches.java
+++ b/src/main/java/loadbalancer/proxy/Latches.java
@@ -3,17 +3,20 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 
-/** Waits for latches without checked exceptions. */
+/** Waits on latches without checked exceptions. */
 final class Latches {
 
   private Latches() {}
 
-  /** Blocks until the latch is open or the thread is interrupted, which it then still is. */
+  /**
+   * Blocks until the latch reaches zero or the thread is interrupted, and keeps the interrupt
+   * status.
+   */
   static void await(CountDownLatch latch) {
     await(latch, Long.MAX_VALUE);
   }
 
-  /** The same with a limit; returns whether the latch is open. */
+  /** Blocks likewise for a limited time, and returns whether the latch has reached zero. */
   static boolean await(CountDownLatch latch, long nanos) {
     try {
       return latch.await(nanos, TimeUnit.NANOSECONDS);
--- a/src/main/java/loadbalancer/proxy/ProxiedAttempt.java
+++ b/src/main/java/loadbalancer/proxy/ProxiedAttempt.java
@@ -13,13 +13,15 @@
   private AttemptStatus status;
   private long latencyNanos;
 
-  /** The attempt with this index within its request, from 0; {@link #setCall} completes it. */
+  /**
+   * Creates the attempt with an index within its request, from 0; {@link #setCall} has to follow.
+   */
   ProxiedAttempt(int index, long startedAtNanos) {
     this.index = index;
     this.startedAtNanos = startedAtNanos;
   }
 
-  /** Names the call that carries the attempt out. */
+  /** Sets the call that carries out the attempt. */
   void setCall(UpstreamCall call) {
     this.call = call;
   }
@@ -38,17 +40,17 @@
     return call;
   }
 
-  /** Whether a response may still come of it, or has come. */
+  /** Returns whether a successful response has arrived or may still arrive. */
   boolean mayGetResponse() {
     return status == null ? call.isWritten() : status == AttemptStatus.SUCCESS;
   }
 
-  /** Whether the endpoint may have run the request, as far as is known now. */
+  /** Returns whether the endpoint may have run the request, as far as is known now. */
   boolean mayHaveRun() {
     return status == null ? call.isWritten() : !status.provesNotRun();
   }
 
-  /** Whether the endpoint has certainly not run the request, and never will. */
+  /** Returns whether the endpoint has certainly not run the request and will not run it. */
   boolean isProvenNotRun() {
     return status != null && status.provesNotRun();
   }
--- a/src/main/java/loadbalancer/proxy/ProxiedRequest.java
+++ b/src/main/java/loadbalancer/proxy/ProxiedRequest.java
@@ -12,8 +12,8 @@
 import loadbalancer.telemetry.TracedRequest;
 
 /**
- * A client's request, from its acceptance until it is completed and its last attempt has ended. It
- * owns the received message, and releases it on completion. Confined to the event loop.
+ * A client's request, from its acceptance until it is completed and its last attempt has ended.
+ * Owns the received message, and releases it on completion. Confined to the event loop.
  */
 final class ProxiedRequest implements TracedRequest {
 
@@ -27,9 +27,9 @@
   private boolean completed;
 
   /**
-   * Takes over a request.
+   * Creates a request in flight, which takes over the received message.
    *
-   * @param id what the decision engine knows the request by; a client may reuse its own trace id
+   * @param id identifies the request to the decision engine, as clients may reuse trace ids
    */
   ProxiedRequest(DownstreamRequest downstream, String id, long acceptedAtNanos) {
     this.downstream = downstream;
@@ -41,12 +41,12 @@
     return id;
   }
 
-  /** What the client sent. */
+  /** Returns the request as received from the client. */
   DownstreamRequest downstream() {
     return downstream;
   }
 
-  /** The event that notifies the decision engine of its arrival. */
+  /** Returns the event that notifies the decision engine of the request's arrival. */
   RequestArrived arrivalEvent() {
     return new RequestArrived(
         id,
@@ -94,22 +94,24 @@
     attemptsInFlight++;
   }
 
-  /** One of its attempts has ended, and the decision engine is about to be told. */
+  /** Records that the end of an attempt is being delivered to the decision engine. */
   void markAttemptEndDelivered() {
     attemptsInFlight--;
   }
 
-  /** Whether the decision engine has not been notified of the end of some attempt. */
+  /** Returns whether the end of any attempt has not been delivered to the decision engine yet. */
   boolean hasAttemptsInFlight() {
     return attemptsInFlight > 0;
   }
 
-  /** The timer that completes the request after its deadline; cancelled on completion. */
+  /**
+   * Sets the timer that completes the request after its deadline. It is cancelled on completion.
+   */
   void setExpiryTimer(Future<?> timer) {
     expiryTimer = timer;
   }
 
-  /** The client has ended its sending. */
+  /** Records that the client has closed its sending side. */
   void markClientHalfClosed() {
     clientHalfClosed = true;
   }
@@ -118,17 +120,20 @@
     return clientHalfClosed;
   }
 
-  /** Whether it has its final response, or its client has disconnected. */
+  /** Returns whether the request has its final response or its client has disconnected. */
   boolean isCompleted() {
     return completed;
   }
 
-  /** Whether its client is there and waits, by everything that has arrived from it up to now. */
+  /**
+   * Returns whether the client is connected and waits for a response, as far as its input up to now
+   * shows.
+   */
   boolean isClientWaiting() {
     return !completed && !clientHalfClosed && downstream.response().isResponseAwaited();
   }
 
-  /** Completes it without a response; a no-op where it is completed. */
+  /** Completes the request without a response; a no-op if it is completed. */
   void complete() {
     if (!completed) {
       completed = true;
@@ -140,7 +145,7 @@
   }
 
   /**
-   * Completes it with its final response; parameters as in {@link
+   * Completes the request with its final response; the parameters are those of {@link
    * loadbalancer.downstream.ResponseSink#respond}.
    */
   void respond(
@@ -149,7 +154,7 @@
     downstream.response().respond(status, retryAfterNanos, contentType, content);
   }
 
-  /** Whether a response may still come of an attempt that has been written, or has come. */
+  /** Returns whether a successful response to any attempt has arrived or may still arrive. */
   boolean mayGetResponse() {
     for (ProxiedAttempt attempt : attempts) {
       if (attempt.mayGetResponse()) {
@@ -159,12 +164,12 @@
     return false;
   }
 
-  /** Whether some endpoint may have run it, as far as is known now. */
+  /** Returns whether any endpoint may have run the request, as far as is known now. */
   boolean mayHaveRun() {
     return mayHaveRunExcluding(null);
   }
 
-  /** Whether some endpoint may have run it by another attempt than this one. */
+  /** Returns whether any endpoint may have run the request by an attempt other than this one. */
   boolean mayHaveRunExcluding(ProxiedAttempt excluded) {
     for (ProxiedAttempt attempt : attempts) {
       if (attempt != excluded && attempt.mayHaveRun()) {
@@ -175,8 +180,8 @@
   }
 
   /**
-   * Clock reading until which a further attempt may start. Endpoints recognise the repeat of a
-   * request by its idempotency key for a limited time only, and may have run it already.
+   * Returns the clock reading until which a further attempt may be written. Endpoints recognise a
+   * repeated request by its idempotency key for a limited time only, and may have run it already.
    */
   long dedupDeadlineNanos() {
     long deadline = Long.MAX_VALUE;
--- a/src/main/java/loadbalancer/proxy/ProxyComponents.java
+++ b/src/main/java/loadbalancer/proxy/ProxyComponents.java
@@ -16,16 +16,16 @@
 import loadbalancer.upstream.ConnectionPool;
 
 /**
- * The two ends of a proxy whose parts have been wired together on one event loop.
+ * The entry points of a proxy whose components share one event loop.
  *
- * @param dispatcher where requests, endpoint updates and gossip go
- * @param listener where clients connect
+ * @param dispatcher receives requests, endpoint list updates and gossip
+ * @param listener accepts clients
  */
 record ProxyComponents(RequestDispatcher dispatcher, DownstreamListener listener) {
 
   /**
-   * Wires the parts of a proxy. Without further settings it has no bounds on descriptors and
-   * memory, no discovery and no gossip. To be used on the event loop.
+   * Builds the components of a proxy. Without further settings the proxy has no limits on
+   * descriptors and memory, no discovery and no gossip. Must be used on the event loop.
    */
   static final class Builder {
 
@@ -54,9 +54,9 @@
     private GossipSender gossip = NO_GOSSIP;
 
     /**
-     * Starts with the parts that have no choice.
+     * Creates a builder with the values that have no default.
      *
-     * @param engineFactory makes the n-th decision engine of the process, from 0
+     * @param engineFactory creates the n-th decision engine of the process, counted from 0
      */
     Builder(EventLoop loop, Settings settings, LongFunction<DecisionEngine> engineFactory) {
       this.loop = loop;
@@ -64,16 +64,16 @@
       this.engineFactory = engineFactory;
     }
 
-    /** The endpoint list of the proxy that is being built. */
+    /** Returns the endpoint directory of the proxy that is being built. */
     EndpointDirectory directory() {
       return directory;
     }
 
     /**
-     * How connections to upstreams are made; has to be stated.
+     * Sets how connections to upstreams are opened; mandatory.
      *
      * @param idleNanos time after which an upstream may close an idle connection
-     * @param loadReports whether upstreams report their load
+     * @param loadReports whether upstreams send load reports
      */
     Builder upstreams(Bootstrap bootstrap, long idleNanos, boolean loadReports) {
       this.upstreams = bootstrap;
@@ -83,10 +83,10 @@
     }
 
     /**
-     * Bounds what the proxy takes of the machine.
+     * Limits the resources that the proxy uses.
      *
-     * @param maxDescriptors file descriptors of the process
-     * @param maxBodyBytes bytes of request bodies that are held at one time
+     * @param maxDescriptors maximum number of file descriptors of the process
+     * @param maxBodyBytes maximum total size of the request bodies that are held at one time
      */
     Builder limits(int maxDescriptors, long maxBodyBytes) {
       this.maxDescriptors = maxDescriptors;
@@ -94,13 +94,13 @@
       return this;
     }
 
-    /** Where the decision engine has the endpoint list watched and fetched. */
+    /** Sets the source from which the decision engine watches and fetches the endpoint list. */
     Builder endpointSource(EndpointSource endpointSource) {
       this.endpointSource = endpointSource;
       return this;
     }
 
-    /** Where the decision engine's messages to other instances go. */
+    /** Sets the sender of the decision engine's messages to other instances. */
     Builder gossip(GossipSender gossip) {
       this.gossip = gossip;
       return this;
@@ -134,7 +134,7 @@
       EventQueue events = new EventQueue(loop);
       RequestCompleter completer = new RequestCompleter(clock, requests, events, trace);
       AttemptGuard guard = new AttemptGuard(clock, directory, trace);
-      AttemptRunner attempts =
+      AttemptRunner runner =
           new AttemptRunner(
               clock,
               settings.limits().maxAttempts(),
@@ -153,7 +153,7 @@
               clock,
               requests,
               completer,
-              attempts,
+              runner,
               healthChecks,
               pool,
               endpointSource,
@@ -163,17 +163,9 @@
               trace);
       events.deliverTo(
           new EngineRunner(
-              loop,
-              clock,
-              engineFactory,
-              events,
-              directory,
-              requests,
-              completer,
-              attempts,
-              actions));
+              loop, clock, engineFactory, events, directory, requests, completer, runner, actions));
       return new RequestDispatcher(
-          loop, clock, directory, pool, requests, completer, attempts, events);
+          loop, clock, directory, pool, requests, completer, runner, events);
     }
   }
 }
--- a/src/main/java/loadbalancer/proxy/ProxyServer.java
+++ b/src/main/java/loadbalancer/proxy/ProxyServer.java
@@ -24,25 +24,28 @@
 import loadbalancer.upstream.UpstreamChannel;
 
 /**
- * One proxy process, from its start to its end: owns the event loop, and wires the parts together
- * on it. Its methods are for any thread but the event loop's.
+ * One proxy process, from its start to its shutdown: owns the event loop, and wires the components
+ * together on it. Except where noted, its methods must not be called on the event loop.
  */
 public final class ProxyServer {
 
   private static final Logger LOG = Logger.getLogger(ProxyServer.class.getName());
 
   /**
-   * Connections that the system accepts on its own; many come at once when other instances restart.
+   * Size of the kernel's queue of pending connections; many arrive at once when other instances
+   * restart.
    */
   private static final int ACCEPT_BACKLOG = 1024;
 
   /**
-   * The part of the memory, one in so many, that request bodies may take: half of what {@code
-   * deploy/run.sh} gives to buffers.
+   * Request bodies may take the memory of the process divided by this: half of what {@code
+   * deploy/run.sh} assigns to direct buffers.
    */
   private static final int BODY_MEMORY_DIVISOR = 16;
 
-  /** A start waits no longer than this for discovery: an old list is better than no service. */
+  /**
+   * Maximum wait for discovery at the start; serving with an old list is better than not serving.
+   */
   private static final long DISCOVERY_WAIT_MILLIS = 2000;
 
   private final BalancerConfig config;
@@ -64,14 +67,17 @@
     loop = group.next();
   }
 
-  /** Starts a proxy and returns once it listens. */
+  /** Starts a proxy and returns once it is listening. */
   static ProxyServer start(BalancerConfig config) throws IOException {
     ProxyServer server = prepare(config);
     server.listen();
     return server;
   }
 
-  /** Does all of a start but {@link #listen}: until then no client is owed anything. */
+  /**
+   * Performs the steps of a start that precede {@link #listen}. Until then, no client can connect,
+   * so none is owed a response.
+   */
   public static ProxyServer prepare(BalancerConfig config) throws IOException {
     return prepare(
         config,
@@ -80,12 +86,12 @@
   }
 
   /**
-   * Does the same around another decision engine. It waits for discovery's first update, as what
-   * discovery knows applies from the process's first moment on, and the list in the configuration
-   * may be older.
+   * Performs the same steps with another decision engine. Waits for discovery's first update,
+   * because discovery's list applies from the start of the process on, and the one in the
+   * configuration may be older.
    *
-   * @param engineFactory makes the n-th engine of the process, from 0
-   * @param discoveryWaitMillis how long to wait at most
+   * @param engineFactory creates the n-th engine of the process, counted from 0
+   * @param discoveryWaitMillis maximum wait for that update
    */
   public static ProxyServer prepare(
       BalancerConfig config, LongFunction<DecisionEngine> engineFactory, long discoveryWaitMillis)
@@ -138,8 +144,8 @@
   }
 
   /**
-   * Makes what accepts clients. Without TCP_NODELAY the kernel could hold back a small response and
-   * discard it if the connection is reset.
+   * Creates the bootstrap that accepts clients. Without TCP_NODELAY the kernel could hold back a
+   * small response and discard it if the connection is reset.
    */
   static ServerBootstrap clientBootstrap(EventLoopGroup group) {
     return new ServerBootstrap()
@@ -151,7 +157,7 @@
         .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true);
   }
 
-  /** Makes what connects to upstreams and to discovery. */
+  /** Creates the bootstrap that connects to upstreams and to discovery. */
   static Bootstrap upstreamBootstrap(EventLoopGroup group) {
     return new Bootstrap()
         .group(group)
@@ -159,7 +165,7 @@
         .option(ChannelOption.TCP_NODELAY, true);
   }
 
-  /** Opens the proxy to clients and to other instances. */
+  /** Starts to accept clients and messages of other instances. */
   public void listen() throws IOException {
     try {
       if (config.gossipListenAddress() != null && config.settings().limits().gossip()) {
@@ -194,23 +200,23 @@
         .channel();
   }
 
-  /** The clients' side; to be used on the event loop. */
+  /** Returns the listener for clients, which must be used on the event loop. */
   DownstreamListener listener() {
     return components.listener();
   }
 
-  /** The address that clients connect to, once the proxy listens. */
+  /** Returns the address that clients connect to, once the proxy is listening. */
   public InetSocketAddress address() {
     return (InetSocketAddress) serverChannel.localAddress();
   }
 
-  /** Applies what a changed configuration may change while the proxy runs. */
+  /** Reads the configuration again, and applies the changes that need no restart. */
   void reload(ConfigurationReloader.Source source) {
     reloader.reload(source);
   }
 
   /**
-   * Shuts down without losing a request, and returns once that is complete; see {@link
+   * Shuts down without losing a request, and returns when the shutdown is complete; see {@link
    * GracefulShutdown}.
    */
   void shutDownGracefully() {
@@ -227,7 +233,7 @@
     shutdown.awaitCompletion();
   }
 
-  /** Ends the event loop, whatever is in flight; returns before it has ended. */
+  /** Closes the event loop regardless of requests in flight; returns before it has terminated. */
   public void shutDownNow() {
     group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
   }
--- a/src/main/java/loadbalancer/proxy/RequestCompleter.java
+++ b/src/main/java/loadbalancer/proxy/RequestCompleter.java
@@ -10,7 +10,7 @@
 import loadbalancer.telemetry.RequestTrace;
 
 /**
- * Completes requests: with their one final response, or without one because the client has
+ * Completes requests, either with their single final response or without one because the client has
  * disconnected. Confined to the event loop.
  */
 final class RequestCompleter {
@@ -29,23 +29,23 @@
   }
 
   /**
-   * Gives a request that is not completed its final response, without content.
+   * Sends the final response, without content, of a request that is not completed.
    *
-   * @param retryAfterNanos the wait to advise before a retry; 0 for no advice
+   * @param retryAfterNanos the delay before a retry to recommend to the client; 0 for none
    */
   void respond(ProxiedRequest request, HttpResponseStatus status, long retryAfterNanos) {
     respond(request, status, retryAfterNanos, null, Unpooled.EMPTY_BUFFER);
   }
 
-  /** Passes on an upstream's response, which stays the caller's to release. */
+  /** Forwards an upstream's response, which the caller still has to release. */
   void respondOk(ProxiedRequest request, FullHttpResponse response) {
     CharSequence contentType = response.headers().get(HttpHeaderNames.CONTENT_TYPE);
     respond(request, HttpResponseStatus.OK, 0, contentType, response.content());
   }
 
   /**
-   * Responds that no response will come of the request: with 503 where it has certainly not run,
-   * else with 500.
+   * Responds that the request cannot be served: with 503 if it has certainly not run, otherwise
+   * with 500.
    */
   void respondUnserved(ProxiedRequest request) {
     boolean mayHaveRun = request.mayHaveRun();
@@ -57,7 +57,10 @@
         0);
   }
 
-  /** Gives a request this final response, unless it is completed, and has the engine forget it. */
+  /**
+   * Completes a request with this status and tells the engine to drop it; a no-op if it is
+   * completed.
+   */
   void fail(ProxiedRequest request, HttpResponseStatus status) {
     if (!request.isCompleted()) {
       respond(request, status, 0);
@@ -65,7 +68,7 @@
     }
   }
 
-  /** Gives every request in flight without a response its final one. */
+  /** Completes all requests in flight that have no response, with status 500. */
   void failAll() {
     for (ProxiedRequest request : requests.all()) {
       fail(request, HttpResponseStatus.INTERNAL_SERVER_ERROR);
@@ -73,8 +76,8 @@
   }
 
   /**
-   * Completes a request without a response, unless it is completed, and tells the engine that none
-   * is owed.
+   * Completes a request without a response, unless it is completed, and notifies the engine that
+   * none is owed any more.
    */
   void clientDisconnected(ProxiedRequest request) {
     request.complete();
--- a/src/main/java/loadbalancer/proxy/RequestDispatcher.java
+++ b/src/main/java/loadbalancer/proxy/RequestDispatcher.java
@@ -16,14 +16,14 @@
 import loadbalancer.upstream.ConnectionPool;
 
 /**
- * Accepts requests and turns what happens to them, to their clients and to the endpoint list into
- * events for the decision engine. It decides nothing. Confined to the event loop.
+ * Accepts requests, and turns changes of requests, clients and the endpoint list into events for
+ * the decision engine. Makes no decisions itself. Confined to the event loop.
  */
 final class RequestDispatcher implements RequestHandler, GossipReceiver {
 
   /**
-   * A request without a response gets one so long after the deadline that the engine knows: the
-   * last safeguard against an engine that forgets one.
+   * Time after the deadline given to the engine at which a request without a response gets one, as
+   * a safeguard against an engine that loses a request.
    */
   private static final long EXPIRY_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
 
@@ -85,9 +85,9 @@
   }
 
   /**
-   * The client has ended its sending, and has most likely gone: from here on nothing is started for
-   * it. A request that waits for the engine, a connection or a retry is completed at once; one that
-   * has been written may still get its response, in case that the client reads on.
+   * Handles a client that has closed its sending side and has most likely gone: no further attempt
+   * is written for it. A request that waits for the engine, a connection or a retry is completed at
+   * once; one that has been written may still get its response, in case the client still reads.
    */
   @Override
   public void clientHalfClosed(String traceId) {
@@ -116,9 +116,9 @@
   }
 
   /**
-   * Discovery has sent an update, or has failed.
+   * Handles an update or a failure of discovery.
    *
-   * @param list unused where the kind is {@link UpdateKind#FAILED}
+   * @param list ignored if the kind is {@link UpdateKind#FAILED}
    */
   void endpointsUpdated(UpdateKind kind, EndpointList list) {
     if (kind == UpdateKind.FAILED) {
@@ -127,11 +127,11 @@
     }
     EndpointListUpdate update = directory.apply(kind, list);
     events.enqueue(() -> update);
-    // After the update, so that the engine knows why attempts that were still connecting come back
-    // unsent.
+    // After the update event, so that the engine knows why attempts that were connecting end
+    // without having been sent.
     pool.withdraw(endpointId -> !directory.isReady(endpointId));
-    // Connections to the process before lead nowhere; a machine that vanished has not even closed
-    // them.
+    // Idle connections to the previous process are unusable; if its machine has failed, they have
+    // not even been closed.
     for (long endpointId : directory.restartedEndpoints()) {
       pool.closeIdle(endpointId);
     }
@@ -147,14 +147,14 @@
     return directory.hasReadyEndpoint();
   }
 
-  /** The number of requests without a final response, or with an attempt in flight. */
+  /** Returns the number of requests without a final response or with an attempt in flight. */
   int inFlightCount() {
     return requests.size();
   }
 
   /**
-   * The process is about to end: completes all requests in flight, and from here on each new one at
-   * once.
+   * Completes all requests in flight, and from then on each new one immediately, because the
+   * process is about to end.
    */
   void expireAll() {
     isExpired = true;
--- a/src/main/java/loadbalancer/proxy/ServeCommand.java
+++ b/src/main/java/loadbalancer/proxy/ServeCommand.java
@@ -18,7 +18,9 @@
 
   private static final Logger LOG = Logger.getLogger(ServeCommand.class.getName());
 
-  /** One line an entry: time, level, logger, message. */
+  /**
+   * Each entry is a line of time, level and message, followed by the stack trace of an exception.
+   */
   private static final String LOG_FORMAT = "%1$tFT%1$tT.%1$tL %4$s %5$s%6$s%n";
 
   private final Map<String, String> environment;
@@ -26,8 +28,8 @@
   private final CompletableFuture<ProxyServer> listeningServer = new CompletableFuture<>();
 
   /**
-   * Set by whichever comes first, SIGTERM or the listening: a process that is to end before it
-   * listens owes no client anything, and ends at once.
+   * Set by whichever comes first, SIGTERM or the start of listening. A process that gets SIGTERM
+   * before it listens owes no client a response, and ends at once.
    */
   private final AtomicBoolean isOutcomeDecided = new AtomicBoolean();
 
@@ -37,10 +39,10 @@
   }
 
   /**
-   * Serves until SIGTERM. SIGHUP has the configuration read again.
+   * Serves until SIGTERM. SIGHUP reloads the configuration.
    *
-   * @param err where a start that fails is reported, in one line
-   * @return the process's exit status: 0 at the end of a graceful shutdown, 1 where the start fails
+   * @param err receives the log, and one line if the start fails
+   * @return the process's exit status: 0 after a graceful shutdown, 1 if the start fails
    */
   public static int run(Map<String, String> environment, PrintStream err) {
     System.setProperty("java.util.logging.SimpleFormatter.format", LOG_FORMAT);
@@ -49,9 +51,9 @@
   }
 
   private int run() {
-    // Handlers, not shutdown hooks: those run beside the one that ends logging, and the exit status
-    // would name the signal. Without a handler SIGHUP ends the process; one that arrives early
-    // waits until the proxy listens.
+    // Signal handlers instead of shutdown hooks: hooks run concurrently with the one that closes
+    // the log, and the exit status would be that of the signal. Without a handler SIGHUP would end
+    // the process; a SIGHUP that arrives early takes effect once the proxy is listening.
     Signal.handle(new Signal("TERM"), signal -> terminate());
     SignalHandler previous =
         Signal.handle(new Signal("HUP"), signal -> listeningServer.thenAccept(this::reload));
--- a/src/main/java/loadbalancer/proxy/TransientFailures.java
+++ b/src/main/java/loadbalancer/proxy/TransientFailures.java
@@ -10,33 +10,32 @@
 import loadbalancer.telemetry.LogValues;
 
 /**
- * Repeats steps that the system may fail for a moment, for want of descriptors, buffers or
- * addresses: those of a start, and the reading of a configuration. For any thread but an event
- * loop's.
+ * Retries operations that may fail temporarily for lack of descriptors, buffers or addresses: the
+ * steps of a start and reading the configuration. Must not be used on an event loop.
  */
 final class TransientFailures {
 
   private static final Logger LOG = Logger.getLogger(TransientFailures.class.getName());
 
-  /** A process that cannot start for so long reports it, for an operator to look. */
+  /** Failures are reported after this time, so that an operator can look into them. */
   private static final long MAX_RETRY_MILLIS = 3000;
 
   private static final long RETRY_INTERVAL_MILLIS = 20;
 
   private TransientFailures() {}
 
-  /** A step that can be repeated after it has failed. */
+  /** An operation that can be repeated after it has failed. */
   @FunctionalInterface
   interface Operation<T> {
-    /** Takes the step. */
+    /** Performs the operation and returns its result. */
     T run() throws IOException;
   }
 
   /**
-   * Takes a step until it succeeds, or has failed for some time.
+   * Performs an operation until it succeeds, fails permanently, or has failed for some time.
    *
-   * @param event what the log calls a failure
-   * @throws IOException the last failure, also if repeating could not help
+   * @param event the event name of failures in the log
+   * @throws IOException the last failure
    */
   static <T> T retry(String event, Operation<T> operation) throws IOException {
     long retryDeadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MAX_RETRY_MILLIS);
@@ -68,7 +67,7 @@
       TimeUnit.MILLISECONDS.sleep(RETRY_INTERVAL_MILLIS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
-      throw new InterruptedIOException("interrupted between two tries");
+      throw new InterruptedIOException("interrupted between two attempts");
     }
   }
 }
--- a/src/main/java/loadbalancer/proxy/UpstreamRequestFactory.java
+++ b/src/main/java/loadbalancer/proxy/UpstreamRequestFactory.java
@@ -13,10 +13,10 @@
 import java.util.concurrent.TimeUnit;
 import loadbalancer.http.HttpProtocol;
 
-/** Makes the requests that go to endpoints. */
+/** Creates the requests that are sent to endpoints. */
 final class UpstreamRequestFactory {
 
-  /** Headers that concern one connection, not the request. */
+  /** Headers that apply to one connection instead of the request. */
   private static final List<AsciiString> HOP_BY_HOP =
       List.of(
           HttpHeaderNames.CONNECTION,
@@ -31,10 +31,10 @@
   private UpstreamRequestFactory() {}
 
   /**
-   * Makes the request to forward: the received one without hop-by-hop headers. It shares the
+   * Creates the request to forward: the received one without hop-by-hop headers. It shares the
    * received body, and holds a reference to it.
    *
-   * @param timeoutNanos how long the proxy waits for the response
+   * @param timeoutNanos time for which the proxy waits for the response
    */
   static FullHttpRequest forward(FullHttpRequest received, long timeoutNanos) {
     HttpHeaders headers = new DefaultHttpHeaders().set(received.headers());
@@ -68,7 +68,7 @@
     }
   }
 
-  /** Makes a health check. */
+  /** Creates a health check request. */
   static FullHttpRequest healthCheck() {
     FullHttpRequest request =
         new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, HttpProtocol.HEALTH_PATH);
--- a/src/main/java/loadbalancer/proxy/WarmUp.java
+++ b/src/main/java/loadbalancer/proxy/WarmUp.java
@@ -38,59 +38,60 @@
 import loadbalancer.http.HttpProtocol;
 
 /**
- * Serves requests of its own before the first client comes, so that the code on a request's way is
- * loaded and compiled. Everything is the real thing but the transport, which stays inside the
- * process, and the decision engine, which is thrown away.
+ * Serves synthetic requests before the first client connects, so that the code that serves requests
+ * is loaded and compiled. All components are the real ones except for the transport, which is local
+ * to the process. The decision engine is a separate one, which is discarded afterwards.
  *
- * <p>With a part of a core, a proxy whose code is still interpreted is the bottleneck itself, and
- * its own delay looks like that of slow endpoints. The warm-up is bounded by work rather than by
- * time: in a fixed time a part of a core would do too little of it. Clients wait for all of it
- * where a start is urgent.
+ * <p>With a fraction of a core, a proxy whose code is still interpreted is itself the bottleneck,
+ * and its own delay looks like that of slow endpoints. The warm-up is limited by the number of
+ * requests rather than by time, because a fraction of a core would serve too few in a fixed time.
+ * When a start is urgent, clients wait for the whole warm-up.
  */
 final class WarmUp {
 
   private static final Logger LOG = Logger.getLogger(WarmUp.class.getName());
 
   /**
-   * Compiles most of the code on a request's way; what is left costs clients less than a later
-   * start.
+   * Enough requests to compile most of the code that serves one; compiling the rest during service
+   * costs clients less than a later start.
    */
   static final int MAX_REQUESTS = 200;
 
-  /** Loads the classes, and compiles what runs most. */
+  /** Enough requests to load the classes and to compile the hottest code. */
   static final int MIN_REQUESTS = 40;
 
   /**
-   * Between the two, as many requests as clients send to this instance in so many seconds. An
-   * instance of a large fleet has few to serve at first, and when most are restarted at once
-   * clients wait for the first to be ready.
+   * Between the two limits, the warm-up serves as many requests as clients send to this instance in
+   * this many seconds. An instance of a large fleet has few requests to serve at first, and when
+   * most instances restart at once, clients wait for the first one to be ready.
    */
   private static final double TRAFFIC_SECONDS = 0.6;
 
   /**
-   * Connections that send requests at the same time, as in service: a single one would find its
-   * upstream connection still resting, and open a new one each time.
+   * Number of connections that send requests at the same time, as in service. For a single one, the
+   * upstream connection of the last request would not be reusable yet, and a new one would be
+   * opened each time.
    */
   private static final int CLIENT_CONNECTIONS = 16;
 
   private static final int ENDPOINT_COUNT = 4;
   private static final long UPSTREAM_IDLE_NANOS = TimeUnit.SECONDS.toNanos(1);
 
-  /** Bounds a start on a machine that is far slower than any seen. */
+  /** Limits the duration of a start on an exceptionally slow machine. */
   private static final long MAX_DURATION_MILLIS = 5000;
 
   private WarmUp() {}
 
   /**
-   * How far a warm-up came.
+   * The result of a warm-up.
    *
-   * @param sent requests that its clients sent
-   * @param answered requests that got a response
-   * @param served requests whose response was 200
+   * @param sent number of requests that were sent
+   * @param answered number of requests that got a response
+   * @param served number of requests that got a response with status 200
    */
   record Result(int sent, int answered, int served) {}
 
-  /** Blocks until the warm-up is over; not for an event loop. */
+  /** Runs the warm-up and blocks until it has ended. Must not be called on an event loop. */
   static void run(Settings settings) {
     Result result = run(settings, MAX_DURATION_MILLIS);
     int wanted = requestCount(settings);
@@ -100,7 +101,8 @@
   }
 
   /**
-   * How many requests to serve: the most where the settings do not say how much traffic to expect.
+   * Returns the number of requests to serve: {@link #MAX_REQUESTS} if the settings have no quotas,
+   * from which the expected traffic follows.
    */
   static int requestCount(Settings settings) {
     double totalQuota = 0;
@@ -112,7 +114,7 @@
     return (int) Math.max(MIN_REQUESTS, Math.min(MAX_REQUESTS, expectedRequests));
   }
 
-  /** The same with another limit of time. */
+  /** Runs the warm-up with another time limit. */
   static Result run(Settings settings, long maxMillis) {
     EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, LocalIoHandler.newFactory());
     Promise<Void> done = group.next().newPromise();
@@ -121,8 +123,8 @@
       group.execute(() -> start(group, settings, client));
       done.awaitUninterruptibly(maxMillis);
     } finally {
-      // The clients first: else they would go on against endpoints that are closed, and hold the
-      // start up.
+      // The clients are stopped first; otherwise they would keep sending to closed endpoints and
+      // delay the start.
       group.submit(client::stop).syncUninterruptibly();
       group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
     }
@@ -201,7 +203,7 @@
     }
   }
 
-  /** An endpoint that serves every request. */
+  /** An upstream that responds to every request with status 200 and the request's body. */
   private static final class EchoUpstream extends SimpleChannelInboundHandler<FullHttpRequest> {
 
     @Override
@@ -210,9 +212,9 @@
           new DefaultFullHttpResponse(
               HttpVersion.HTTP_1_1, HttpResponseStatus.OK, request.content().retain());
       response.headers().set(HttpHeaderNames.CONTENT_LENGTH, request.content().readableBytes());
-      // In a later turn: inside a process a response could else arrive before its request's write
-      // is known to have
-      // ended. The pool would count it as broken, and its endpoint would be ejected.
+      // In a later turn of the event loop: within a process a response could otherwise arrive
+      // before the write of its request is known to be complete. The attempt would count as a
+      // reset, and the endpoint would be ejected.
       context.executor().execute(() -> context.writeAndFlush(response));
     }
   }
--- a/src/main/java/loadbalancer/proxy/WarmUpClient.java
+++ b/src/main/java/loadbalancer/proxy/WarmUpClient.java
@@ -19,8 +19,8 @@
 import loadbalancer.http.HttpProtocol;
 
 /**
- * The warm-up's clients: sends the next request on each connection once the last one is answered.
- * Shared by all connections, which are on one event loop.
+ * The client side of the warm-up: sends the next request on a connection when the response to the
+ * last one has arrived. Shared by all connections, which are on one event loop.
  */
 @Sharable
 final class WarmUpClient extends SimpleChannelInboundHandler<FullHttpResponse> {
@@ -39,9 +39,10 @@
   private boolean isStopped;
 
   /**
-   * Makes clients that send so many requests in all, of the settings' classes in turn.
+   * Creates a client that sends {@code requestCount} requests in total, of the settings' classes in
+   * turn.
    *
-   * @param done completed once all of them are answered
+   * @param done completed when all of them have a response
    */
   WarmUpClient(Settings settings, int requestCount, Promise<Void> done) {
     classes = settings.classes();
@@ -50,12 +51,12 @@
     this.done = done;
   }
 
-  /** Sends nothing more. */
+  /** Stops sending requests. */
   void stop() {
     isStopped = true;
   }
 
-  /** Final once the event loop has ended. */
+  /** Returns the result, which is final once the event loop has terminated. */
   WarmUp.Result result() {
     return new WarmUp.Result(sent, answered, served);
   }
