--- a/src/test/java/loadbalancer/proxy/AgentWatchTest.java
+++ b/src/test/java/loadbalancer/proxy/AgentWatchTest.java
@@ -27,14 +27,17 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Where lists are pushed, what the agent knows applies at once, whether or not a watch stands. */
+/**
+ * Pushed endpoint lists: a change applies as soon as the local agent knows of it, whether or not a
+ * watch is open.
+ */
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
-@SuppressWarnings("try") // The proxy runs while its engine is asked.
+@SuppressWarnings("try") // The proxy only has to run in the meantime.
 class AgentWatchTest {
 
   private static final long DRAIN_GRACE_MILLIS = 300;
 
-  /** What every time limit of the platform grows by on real sockets. */
+  /** Added to each time limit on real sockets. */
   private static final long TOLERANCE_MILLIS = 50;
 
   private static BalancerConfig pushedConfig(FakeServer discovery, String... members)
@@ -50,7 +53,7 @@
         Map.of());
   }
 
-  /** How a watch ends without an update. */
+  /** A way in which a watch ends without an update. */
   private enum WatchEnd {
     CLOSED(c -> {}),
     RESET(FakeServer.Connection::reset),
@@ -58,7 +61,7 @@
         c -> c.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n")),
     UNAVAILABLE(c -> c.write("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"));
 
-    @SuppressWarnings("ImmutableEnumChecker") // A script holds no state.
+    @SuppressWarnings("ImmutableEnumChecker") // Scripts are stateless.
     final FakeServer.Script script;
 
     WatchEnd(FakeServer.Script script) {
@@ -67,11 +70,11 @@
   }
 
   /**
-   * The agent knows of a drain, and the watch ends instead of sending it, as do those that replace
-   * it: the waits between them together have to stay within the grace of the drain.
+   * The agent knows of a drain, but the watch and those that replace it end without delivering it.
+   * The delays between them must add up to no more than the drain grace period.
    */
   @ParameterizedTest
-  @CsvSource({"CLOSED", "RESET", "WHOLE", "DOWN"})
+  @CsvSource({"CLOSED", "RESET", "COMPLETE_RESPONSE", "UNAVAILABLE"})
   void learnsOfADrainWithinItsGraceWhenWatchesEndWithoutAnUpdate(WatchEnd end) throws Exception {
     String first = ProxyFixture.member("s-a", "127.0.0.1:1", "ready");
     AtomicInteger watchCount = new AtomicInteger();
@@ -106,13 +109,14 @@
           List.of(EndpointState.DRAINING),
           update.endpoints().stream().map(e -> e.state()).toList());
       long millis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - drainKnownAt.get());
-      assertTrue(millis < DRAIN_GRACE_MILLIS + TOLERANCE_MILLIS, "told after " + millis + " ms");
+      assertTrue(
+          millis < DRAIN_GRACE_MILLIS + TOLERANCE_MILLIS, "notified after " + millis + " ms");
     }
   }
 
   /**
-   * However long the agent has been away, no wait between two calls is as long as the grace of a
-   * drain.
+   * However long the agent has been unavailable, every delay between two calls is shorter than the
+   * drain grace period.
    */
   @Test
   void waitsLessThanADrainsGraceBetweenCalls() throws Exception {
@@ -137,13 +141,13 @@
                 new ScriptedEngine((event, out) -> {}))) {
       assertTrue(calls.await(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS));
       long millis = TimeUnit.NANOSECONDS.toMillis(longestDelay.get());
-      assertTrue(millis < DRAIN_GRACE_MILLIS, "nobody asked for " + millis + " ms");
+      assertTrue(millis < DRAIN_GRACE_MILLIS, "no call for " + millis + " ms");
     }
   }
 
   /**
-   * Discovery whose first watch lists two endpoints and ends without an update; every later one
-   * lists only the first of them.
+   * Returns a discovery whose first watch lists two endpoints and ends without an update. Every
+   * later watch lists only the first of them.
    */
   private static FakeServer discoveryOmitting(
       String remainingMember, String omittedMember, CountDownLatch endFirstWatch)
@@ -164,7 +168,7 @@
         });
   }
 
-  /** Asks with many keys, of which some would go to the endpoint that has left. */
+  /** Sends requests with many affinity keys, some of which the omitted endpoint would serve. */
   private static void assertServedByRemainingEndpoint(Client client) throws IOException {
     for (int i = 0; i < 40; i++) {
       String response = client.exchange(ProxyFixture.get("u" + i, "Cookie: sid=" + i + "\r\n"));
@@ -173,8 +177,8 @@
   }
 
   /**
-   * A watch that replaces one begins with the complete list, which omits what drains: that endpoint
-   * is gone, though it still responds.
+   * A watch that replaces another begins with the complete list, which omits draining endpoints. An
+   * omitted endpoint counts as gone, although it still responds.
    */
   @Test
   void sendsNothingToAnEndpointThatACompleteListOmits() throws Exception {
--- a/src/test/java/loadbalancer/proxy/AttemptEndOrderTest.java
+++ b/src/test/java/loadbalancer/proxy/AttemptEndOrderTest.java
@@ -33,7 +33,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Two ends of an attempt in one turn of the event loop, in each order; and the ends of upstream
+ * Two outcomes of an attempt in one turn of the event loop, in each order, and restarts of upstream
  * processes.
  */
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
@@ -46,7 +46,8 @@
   private final EventLoopSteps steps = new EventLoopSteps();
 
   /**
-   * An upstream whose connections do as they are told; they have done it when {@link #run} returns.
+   * An upstream that runs a script on command for each request; the script has run when {@link
+   * #run} returns.
    */
   private static final class ControlledUpstream implements AutoCloseable {
     private final BlockingQueue<FakeServer.Script> scripts = new LinkedBlockingQueue<>();
@@ -85,7 +86,7 @@
     connection.write(FakeServer.ok("first"));
   }
 
-  /** The two ends of an attempt, in the order of the name, and the status to be reported. */
+  /** Two outcomes of an attempt in the order in which they occur, and the status to be reported. */
   private enum OutcomePair {
     CANCEL_THEN_RESPONSE(AttemptStatus.CANCELLED, AttemptEndOrderTest::respond),
     CANCEL_THEN_RESET(AttemptStatus.CANCELLED, FakeServer.Connection::reset),
@@ -104,7 +105,7 @@
 
     final AttemptStatus status;
 
-    @SuppressWarnings("ImmutableEnumChecker") // A script holds no state.
+    @SuppressWarnings("ImmutableEnumChecker") // Scripts are stateless.
     final FakeServer.Script upstream;
 
     OutcomePair(AttemptStatus status, FakeServer.Script upstream) {
@@ -118,42 +119,42 @@
   }
 
   /**
-   * Adds the steps that bring both ends about in one turn of the loop.
+   * Adds the steps that cause both outcomes in one turn of the event loop.
    *
-   * @param second sends the second cue where there are two
+   * @param secondTrigger sends the second trigger request if there are two
    */
-  private void addSteps(
-      OutcomePair outcomes, ControlledUpstream upstream, Client secondTriggerClient) {
+  private void addSteps(OutcomePair outcomes, ControlledUpstream upstream, Client secondTrigger) {
     switch (outcomes) {
       case CANCEL_THEN_RESPONSE, CANCEL_THEN_RESET ->
-          // Decided while the other end is in the kernel, and not read yet.
+          // Cancelled while the response or reset is in the kernel and has not been read.
           steps.add(
               actions -> {
                 upstream.run(outcomes.upstream);
                 actions.accept(new CancelAttempt("r0", 0));
               });
       case RESPONSE_THEN_CANCEL, RESET_THEN_CANCEL -> {
-        // Both are read before the engine gets either: the cancellation comes with the second cue.
+        // Both are read before the engine handles either; the second trigger cancels the attempt.
         steps.add(
             actions -> {
               upstream.run(outcomes.upstream);
-              write(secondTriggerClient, ProxyFixture.get("cue-2", EventLoopSteps.TRIGGER_HEADER));
+              write(secondTrigger, ProxyFixture.get("trigger-2", EventLoopSteps.TRIGGER_HEADER));
             });
         steps.add(actions -> actions.accept(new CancelAttempt("r0", 0)));
       }
       case RESPONSE_THEN_TIMEOUT, RESET_THEN_TIMEOUT ->
-          // The time is up as well when the loop goes on, and it reads its sockets first.
+          // The timeout has passed too when the loop resumes, but the loop reads its sockets first.
           steps.add(
               actions -> {
                 upstream.run(outcomes.upstream);
                 passTimeout();
               });
       case TIMEOUT_THEN_RESPONSE, TIMEOUT_THEN_RESET -> {
-        // The time is up at the second cue, in the same turn and after all sockets have been read.
+        // The timeout has passed at the second trigger, in the same turn, after all sockets were
+        // read.
         steps.add(
             actions -> {
               passTimeout();
-              write(secondTriggerClient, ProxyFixture.get("cue-2", EventLoopSteps.TRIGGER_HEADER));
+              write(secondTrigger, ProxyFixture.get("trigger-2", EventLoopSteps.TRIGGER_HEADER));
             });
         steps.add(actions -> upstream.run(outcomes.upstream));
       }
@@ -188,18 +189,18 @@
             new ProxyFixture(
                 ProxyFixture.config(UNREACHABLE_ADDRESS, endpointList(upstream.server)), engine);
         Client client = proxy.client();
-        Client triggerClient = proxy.client();
-        Client secondTriggerClient = proxy.client()) {
-      addSteps(outcomes, upstream, secondTriggerClient);
+        Client trigger = proxy.client();
+        Client secondTrigger = proxy.client()) {
+      addSteps(outcomes, upstream, secondTrigger);
       client.write(ProxyFixture.get("t", ""));
       upstream.awaitRequest();
-      triggerClient.exchange(ProxyFixture.get("cue-1", EventLoopSteps.TRIGGER_HEADER));
+      trigger.exchange(ProxyFixture.get("trigger-1", EventLoopSteps.TRIGGER_HEADER));
       AttemptEnded first = engine.awaitEvent(AttemptEnded.class);
       assertEquals(outcomes.status, first.status());
       String response = client.readResponse();
       boolean isSuccess = outcomes.status == AttemptStatus.SUCCESS;
       assertTrue(response.startsWith(isSuccess ? "HTTP/1.1 200 " : "HTTP/1.1 502 "), response);
-      // And the next request gets its own response, on whatever connection.
+      // The next request gets its own response, on whichever connection.
       client.write(ProxyFixture.get("t2", ""));
       upstream.awaitRequest();
       upstream.run(connection -> connection.write(FakeServer.ok("second")));
@@ -207,13 +208,13 @@
       assertNotEquals(
           first.requestId(),
           engine.awaitEvent(AttemptEnded.class).requestId(),
-          "one end reported an attempt");
+          "one end is reported for each attempt");
     }
   }
 
   /**
-   * All of the request has left, and all but a byte was read: it may have run, unlike one that
-   * never connected.
+   * The whole request was sent, and all but its last byte was read: unlike one that never
+   * connected, it may have run.
    */
   @Test
   void reportsAResetBeforeTheLastByteWasReadAsReset() throws Exception {
@@ -237,7 +238,8 @@
   }
 
   /**
-   * An upstream whose first process vanishes after one response: no more comes, not even an end.
+   * Returns an upstream whose first process stops after one response: it sends nothing more and
+   * does not close the connection.
    */
   private static FakeServer restartingUpstream() throws IOException {
     AtomicInteger connections = new AtomicInteger();
@@ -253,10 +255,10 @@
   }
 
   /**
-   * Discovery that tells of the upstream's restart.
+   * Returns a discovery that reports the upstream's restart.
    *
-   * @param newName the name that it comes back under
-   * @param firstState what becomes of {@code s-1} first: gone, or ready and restarted
+   * @param newName the upstream's name after the restart
+   * @param firstState state of {@code s-1} in the first update: gone, or ready after a restart
    */
   private static FakeServer discovery(
       FakeServer upstream, String newName, String firstState, CountDownLatch restarted)
@@ -279,7 +281,10 @@
         });
   }
 
-  /** Has discovery watched, and starts attempts at {@code s-1} until the restart. */
+  /**
+   * Returns an engine that watches discovery, and starts attempts at {@code s-1} until the restart
+   * and at the new name after it.
+   */
   private static ScriptedEngine engineFollowingRestart(String newName, CountDownLatch restarted) {
     return new ScriptedEngine(
         (event, actions) -> {
@@ -293,7 +298,7 @@
         });
   }
 
-  /** How an upstream comes back at the address of one that was there before. */
+  /** An upstream restarts at the address of the previous one, under the same or another name. */
   @ParameterizedTest
   @CsvSource({"s-1,gone", "s-1,ready", "s-2,gone"})
   void opensANewConnectionToARestartedUpstream(String newName, String firstState) throws Exception {
@@ -306,7 +311,7 @@
                 ProxyFixture.config(discovery.address(), endpointList(upstream)), engine);
         Client client = proxy.client()) {
       assertTrue(client.exchange(ProxyFixture.get("t1", "")).endsWith("\r\n\r\nbefore"));
-      EventLoopSteps.sleep(50); // The connection has rested long enough to be used again.
+      EventLoopSteps.sleep(50); // The connection is reusable by then.
       restarted.countDown();
       for (UpdateKind kind : List.of(UpdateKind.CACHED, UpdateKind.DELTA, UpdateKind.DELTA)) {
         assertEquals(kind, engine.awaitEvent(EndpointListUpdate.class).kind());
--- a/src/test/java/loadbalancer/proxy/BrokenConnectionTest.java
+++ b/src/test/java/loadbalancer/proxy/BrokenConnectionTest.java
@@ -29,7 +29,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Connections that break within a response or long after one, and what is lost with them. */
+/** Connections that break during a response or while idle, and the data that is lost with them. */
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
 class BrokenConnectionTest {
 
@@ -43,8 +43,8 @@
   }
 
   /**
-   * A reset is no end, also of a response without a length: no part of it reaches the client as a
-   * complete response.
+   * A reset does not end a response, not even one without a length: no part of it reaches the
+   * client as a complete response.
    */
   @ParameterizedTest
   @ValueSource(
@@ -72,11 +72,10 @@
         Client client = proxy.client()) {
       client.write(ProxyFixture.get("t", ""));
       partialResponseWritten.await();
+      // After two turns of the event loop the proxy has read what the upstream has written.
       for (int i = 0; i < 2; i++) {
         try (Client other = proxy.client()) {
-          other.exchange(
-              "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"); // It has looked at all sockets, and read
-          // what was written.
+          other.exchange("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
         }
       }
       partialResponseRead.countDown();
@@ -86,9 +85,7 @@
     }
   }
 
-  /**
-   * A connection is reset long after its response: the next request goes out on a new one, once.
-   */
+  /** A connection is reset while idle: the next request is sent once, on a new connection. */
   @Test
   void replacesAConnectionThatWasResetWhileIdle() throws Exception {
     ScriptedEngine engine = new ScriptedEngine(LONG_TIMEOUT_NANOS);
@@ -112,7 +109,7 @@
         ProxyFixture proxy = new ProxyFixture(singleEndpointConfig(upstream), engine);
         Client client = proxy.client()) {
       assertTrue(client.exchange(ProxyFixture.get("t1", "")).startsWith("HTTP/1.1 200 "));
-      Thread.sleep(50); // It has rested for long enough to be used again.
+      Thread.sleep(50); // The connection is reusable by then.
       FakeServer.Connection idleConnection = upstream.connections.take();
       resetAllowed.countDown();
       assertTrue(idleConnection.awaitScriptEnd());
@@ -120,13 +117,13 @@
       for (int i = 0; i < 2; i++) {
         assertEquals(AttemptStatus.SUCCESS, engine.awaitEvent(AttemptEnded.class).status());
       }
-      assertEquals(2, upstream.requests.size(), "each once");
+      assertEquals(2, upstream.requests.size(), "each is sent once");
     }
   }
 
   /**
-   * The kernel holds nothing back, on either side, that would be discarded with a connection that
-   * is reset.
+   * Without TCP_NODELAY the kernel could hold back small writes and discard them when the
+   * connection is reset.
    */
   @Test
   void sendsSmallWritesWithoutDelay() throws Exception {
--- a/src/test/java/loadbalancer/proxy/ClientFloodTest.java
+++ b/src/test/java/loadbalancer/proxy/ClientFloodTest.java
@@ -21,7 +21,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Clients that send much at once: they get what they are owed, and nobody else is affected. */
+/**
+ * Clients that send many requests at once get their responses, and other clients are not affected.
+ */
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
 class ClientFloodTest {
 
@@ -45,7 +47,7 @@
         Map.of());
   }
 
-  /** Writes it beside the test: nobody may be reading it any more. */
+  /** Writes on a separate thread, as the proxy may have stopped reading. */
   private static Thread writeInBackground(Client client, String text) {
     Thread thread =
         new Thread(
@@ -53,7 +55,7 @@
               try {
                 client.write(text);
               } catch (IOException e) {
-                // Cut off.
+                // The proxy has closed the connection.
               }
             });
     thread.setDaemon(true);
@@ -70,7 +72,7 @@
         responses.add(response);
       }
     } catch (IOException e) {
-      // Cut off while it went on sending: what came before counts.
+      // Closed while the client was sending: the responses before that count.
     }
     return responses;
   }
@@ -84,8 +86,8 @@
   }
 
   /**
-   * Ten thousand requests at once, of several kinds: they are answered or cut off, while another
-   * client is served.
+   * Ten thousand valid or invalid requests at once get responses, or their connection is closed,
+   * while another client is served.
    */
   @ParameterizedTest
   @ValueSource(
@@ -132,8 +134,8 @@
   }
 
   /**
-   * They disconnect without reading a response, some with a reset: no request and no connection of
-   * theirs stays.
+   * Clients disconnect without reading a response, half of them with a reset: none of their
+   * requests and connections remain.
    */
   @Test
   void releasesEverythingOfClientsThatFloodAndDisconnect() throws Exception {
@@ -175,8 +177,8 @@
   }
 
   /**
-   * Requests that wait for their turn are in memory whole: without a bound many such clients end
-   * the process.
+   * Pipelined requests are held in memory as a whole while they wait for their turn. Without a
+   * limit, many such clients would exhaust the memory of the process.
    */
   @Test
   void countsTheHeadsOfPipelinedRequestsAgainstTheMemory() throws Exception {
@@ -204,26 +206,25 @@
                 "t" + i,
                 "X-Long: " + "x".repeat(7000) + "\r\n" + (i < sent - 1 ? "" : CLOSE_HEADER)));
       }
-      client.write(requests.toString()); // It is read, whether or not it is held.
+      client.write(requests.toString()); // All of it is read, even what is not held.
+      // The loop reads all sockets before each response: in the end it has read all that was sent.
       for (int i = 0; i < 20; i++) {
-        other.exchange(
-            HEALTH_REQUEST); // Each answer takes a look at all sockets: all that was sent has been
-        // read.
+        other.exchange(HEALTH_REQUEST);
       }
       done.countDown();
       List<String> responses = readAllResponses(client);
       long served = responses.stream().filter(a -> a.startsWith("HTTP/1.1 200 ")).count();
-      assertTrue(served < sent, "of 140 KB in heads, with room for 64, all were held: " + served);
+      assertTrue(served < sent, "all were held, 140 KB with a limit of 64 KB: " + served);
       assertTrue(responses.get(0).startsWith("HTTP/1.1 200 "));
       assertTrue(
           other.exchange(ProxyFixture.get("good", "")).startsWith("HTTP/1.1 200 "),
-          "and there is room again");
+          "memory is available again");
     }
   }
 
   /**
-   * A complete request and a part of another arrive together, and then nothing more: the partial
-   * one gets its error.
+   * A complete request and a part of another arrive together, and nothing more follows: the partial
+   * request gets a timeout error.
    */
   @Test
   void timesOutAPartialRequestBehindACompleteOne() throws Exception {
@@ -234,13 +235,13 @@
       client.write(HEALTH_REQUEST + "GET /api HT");
       assertTrue(client.readResponse().startsWith("HTTP/1.1 503 "));
       String response = client.readResponse();
-      assertNotNull(response, "closed without a word");
+      assertNotNull(response, "closed without a response");
       assertTrue(response.startsWith("HTTP/1.1 408 "), response);
       assertNull(client.readResponse());
       assertEquals(
           0,
           TimeUnit.NANOSECONDS.toSeconds(System.nanoTime() - startNanos) / 10,
-          "in seconds, not in a minute");
+          "timed out within seconds");
     }
   }
 }
--- a/src/test/java/loadbalancer/proxy/ConnectionCloseTest.java
+++ b/src/test/java/loadbalancer/proxy/ConnectionCloseTest.java
@@ -38,7 +38,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Input that arrives in the moment in which a connection is closed, shut down or reused. */
+/** Input that arrives at the moment at which a connection is closed, shut down or reused. */
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
 class ConnectionCloseTest {
 
@@ -56,8 +56,9 @@
   }
 
   /**
-   * Input that is unread when the last response of a connection is written becomes no request: no
-   * response to it could be sent. A whole request behind one that asked for the close is none.
+   * Input that is unread when the last response of a connection is written does not become a
+   * request, as no response to it could be sent. The same goes for a complete request behind one
+   * that asked for the close.
    */
   @ParameterizedTest
   @CsvSource(
@@ -95,11 +96,14 @@
       engine.awaitEvent(RequestArrived.class);
       assertTrue(
           engine.events.stream().noneMatch(e -> e instanceof RequestArrived),
-          "input after the shutdown becomes no request");
+          "input after the last response becomes no request");
     }
   }
 
-  /** A close that the proxy wants passes over no request that has arrived: it would be lost. */
+  /**
+   * When the proxy closes a connection by itself, it first serves a request that has already
+   * arrived, which would otherwise be lost.
+   */
   @Test
   void respondsToARequestThatArrivesBeforeTheLastResponseOfAShutdown() throws Exception {
     AtomicReference<ProxyFixture> started = new AtomicReference<>();
@@ -125,15 +129,15 @@
       assertTrue(first.startsWith("HTTP/1.1 429 "), first);
       assertFalse(first.contains("connection: close\r\n"), first);
       String second = client.readResponse();
-      assertNotNull(second, "closed over the request");
+      assertNotNull(second, "closed despite an unread request");
       assertTrue(second.contains("connection: close\r\n"), second);
       assertNull(client.readResponse(), "the end of the stream");
     }
   }
 
   /**
-   * An engine that forwards the request, closing idle connections first where the client did not
-   * ask for the close, and writes more input in the turn in which the response was written.
+   * Returns an engine that forwards the request, after closing idle connections if the client did
+   * not ask for the close, and writes more input in the turn in which the response was written.
    */
   private static ScriptedEngine engineForwardingThenWriting(
       Socket client, AtomicReference<ProxyFixture> started, boolean closeRequestedByClient) {
@@ -147,7 +151,7 @@
                 new StartAttempt(
                     arrived.requestId(), DiscoveryMessages.endpointId("s-1"), LONG_TIMEOUT_NANOS));
           } else if (event instanceof AttemptEnded ended && ended.isRequestAnswered()) {
-            // In the turn in which the response was written, and after that.
+            // In the turn in which the response was written, and after the write.
             try {
               client.getOutputStream().write("GET /api HT".getBytes(StandardCharsets.ISO_8859_1));
             } catch (IOException e) {
@@ -158,9 +162,9 @@
   }
 
   /**
-   * More input arrives right behind the last response of a connection, of which the client has read
-   * nothing. The close over unread input reset the connection, and the part of the response that
-   * was not delivered was lost.
+   * More input arrives right after the last response of a connection is written, while the client
+   * has read nothing of it. Closing a socket with unread input resets the connection, and the
+   * undelivered part of the response is lost.
    */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
@@ -189,27 +193,27 @@
         engine.awaitEvent(AttemptEnded.class);
         for (int i = 0; i < 2; i++) {
           try (Client other = proxy.client()) {
-            other.exchange(
-                HEALTH_REQUEST); // Some turns later: a close in an earlier turn is complete.
+            other.exchange(HEALTH_REQUEST); // Lets a close in an earlier turn complete.
           }
         }
         InputStream in = new BufferedInputStream(client.getInputStream());
         String response = FakeServer.MessageReader.read(in);
         assertTrue(
-            response.startsWith("HTTP/1.1 200 ") && response.endsWith("\r\n\r\n" + body), "whole");
-        assertEquals(-1, in.read(), "and then the end");
+            response.startsWith("HTTP/1.1 200 ") && response.endsWith("\r\n\r\n" + body),
+            "the whole response");
+        assertEquals(-1, in.read(), "the connection ends");
       }
     }
   }
 
-  /** What arrives on an idle upstream connection in the event loop turn in which it is reused. */
+  /** Input on an idle upstream connection that arrives in the turn in which it is reused. */
   private enum LateInput {
     PARTIAL_STATUS_LINE(c -> c.write("HTTP/1.1 20")),
     STATUS_LINE(c -> c.write("HTTP/1.1 200 OK\r\n")),
     SECOND_RESPONSE(c -> c.write(FakeServer.ok("surplus"))),
-    RESET(FakeServer.Connection::reset);
+    CONNECTION_RESET(FakeServer.Connection::reset);
 
-    @SuppressWarnings("ImmutableEnumChecker") // A script holds no state.
+    @SuppressWarnings("ImmutableEnumChecker") // Scripts are stateless.
     final FakeServer.Script script;
 
     LateInput(FakeServer.Script script) {
@@ -218,8 +222,8 @@
   }
 
   /**
-   * An engine that starts a queued request's attempt on a cue, once what arrives on the idle
-   * connection is in the kernel.
+   * Returns an engine that at a trigger request starts the attempt of a held request, once the
+   * input on the idle connection is in the kernel.
    */
   private static ScriptedEngine engineReusingOnTrigger(
       CountDownLatch trigger, CountDownLatch done) {
@@ -249,7 +253,7 @@
         });
   }
 
-  /** An upstream that, behind its first response and on a cue, does what is late. */
+  /** Returns an upstream that produces the late input after its first response, once triggered. */
   private static FakeServer upstreamWithLateInput(
       LateInput lateInput, CountDownLatch trigger, CountDownLatch done) throws IOException {
     return new FakeServer(
@@ -259,7 +263,8 @@
             c.write(FakeServer.ok(first ? "first" : "second"));
             if (first) {
               trigger.await();
-              // By the thread that reads: a reset is on its way once it has closed, not before.
+              // On the thread that reads: the reset is sent when this thread has closed the socket,
+              // not before.
               lateInput.script.run(c);
               done.countDown();
             }
@@ -268,7 +273,7 @@
   }
 
   /**
-   * The input is in the kernel, and the event loop has not seen it: the request goes out on another
+   * The input is in the kernel and the event loop has not read it: the request is sent on another
    * connection.
    */
   @ParameterizedTest
@@ -292,16 +297,19 @@
       engine.awaitEvent(AttemptEnded.class);
       client.write(ProxyFixture.get("t2", "X-Customer: held\r\n"));
       engine.awaitEvent(RequestArrived.class);
-      Thread.sleep(50); // The connection has rested for long enough to be used again.
+      Thread.sleep(50); // The connection is reusable by then.
       assertTrue(
-          other.exchange(ProxyFixture.get("cue", TRIGGER_HEADER)).startsWith("HTTP/1.1 429 "));
+          other.exchange(ProxyFixture.get("trigger", TRIGGER_HEADER)).startsWith("HTTP/1.1 429 "));
       assertEquals(AttemptStatus.SUCCESS, engine.awaitEvent(AttemptEnded.class).status());
-      assertTrue(client.readResponse().endsWith("\r\n\r\nsecond"), "its own answer");
+      assertTrue(client.readResponse().endsWith("\r\n\r\nsecond"), "its own response");
       assertEquals(1, upstream.connections.size(), "on another connection");
     }
   }
 
-  /** An engine that on a cue has one client write a request and another one connect. */
+  /**
+   * Returns an engine that at a trigger request makes one client write a request and another one
+   * connect.
+   */
   private static ScriptedEngine engineConnectingOnTrigger(
       AtomicReference<ProxyFixture> started,
       AtomicReference<Client> unread,
@@ -316,7 +324,7 @@
               } catch (IOException e) {
                 accepted.completeExceptionally(e);
               }
-              started.get().server.listener().stopAccepting(); // It accepts what has connected.
+              started.get().server.listener().stopAccepting(); // Accepts pending connections.
             }
             out.accept(new RejectRequest(arrived.requestId(), 0));
           }
@@ -324,8 +332,8 @@
   }
 
   /**
-   * Descriptors run out while a request is unread on the connection that would be shed first:
-   * another one goes.
+   * Descriptors run out while a request is unread on the connection that would be closed first:
+   * another connection is closed.
    */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
@@ -334,7 +342,7 @@
     AtomicReference<Client> unreadClient = new AtomicReference<>();
     CompletableFuture<Client> accepted = new CompletableFuture<>();
     ScriptedEngine engine = engineConnectingOnTrigger(started, unreadClient, accepted);
-    // At the limit of three clients the one that connected first is shed first.
+    // At the limit of three clients, the one that connected first is closed first.
     BalancerConfig config =
         ProxyFixture.config(
             UNREACHABLE_ADDRESS, ProxyFixture.list(1, true), "on_request", 200, 62, "");
@@ -353,18 +361,18 @@
         unreadClient.set(requesting);
         assertTrue(
             triggerClient
-                .exchange(ProxyFixture.get("cue", TRIGGER_HEADER))
+                .exchange(ProxyFixture.get("trigger", TRIGGER_HEADER))
                 .startsWith("HTTP/1.1 429 "));
         String response = requesting.readResponse();
-        assertNotNull(response, "closed over its request");
+        assertNotNull(response, "closed despite an unread request");
         assertTrue(response.startsWith("HTTP/1.1 429 "), response);
-        assertNull(idle.readResponse(), "closed in its place");
+        assertNull(idle.readResponse(), "closed instead");
         accepted.get(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS).close();
       }
     }
   }
 
-  /** A client that rests until the proxy closes its connection sees the end of the stream. */
+  /** A client that is idle when the proxy closes its connection sees the end of the stream. */
   @Test
   void endsIdleConnectionsAtShutdown() throws Exception {
     ScriptedEngine engine =
@@ -382,9 +390,9 @@
       Thread shutdown = new Thread(proxy.server::shutDownGracefully);
       shutdown.start();
       proxy.server.awaitShutdownStart();
-      assertNull(idle.readResponse(), "the end");
+      assertNull(idle.readResponse(), "the connection ends");
       shutdown.join(TimeUnit.SECONDS.toMillis(ProxyFixture.TIMEOUT_SECONDS));
-      assertFalse(shutdown.isAlive(), "ends");
+      assertFalse(shutdown.isAlive(), "the shutdown ends");
       assertTrue(engine.events.stream().noneMatch(e -> e instanceof RequestArrived));
     }
   }
--- a/src/test/java/loadbalancer/proxy/EventQueueTest.java
+++ b/src/test/java/loadbalancer/proxy/EventQueueTest.java
@@ -9,10 +9,10 @@
 import loadbalancer.decision.api.Event.TimerFired;
 import org.junit.jupiter.api.Test;
 
-/** Events on their way to the decision engine. */
+/** Delivery of events to the decision engine. */
 class EventQueueTest {
 
-  /** An event that notes what becomes of it. */
+  /** An event that records whether it was delivered or discarded. */
   private record RecordedEvent(String name, List<String> log) implements EventQueue.PendingEvent {
     @Override
     public Event take() {
@@ -26,7 +26,7 @@
     }
   }
 
-  /** They may hold responses of endpoints, whose memory is limited. */
+  /** Queued events may hold responses of endpoints in buffers, whose memory is limited. */
   @Test
   void discardsTheEventsThatAFailedEngineHasNotBeenGiven() {
     EmbeddedChannel channel = new EmbeddedChannel();
--- a/src/test/java/loadbalancer/proxy/FragmentedMessageTest.java
+++ b/src/test/java/loadbalancer/proxy/FragmentedMessageTest.java
@@ -20,7 +20,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Messages that arrive in pieces, wherever they are cut, and in all forms that HTTP/1.1 allows. */
+/**
+ * Messages that arrive in fragments, wherever they are split, in the forms that HTTP/1.1 allows.
+ */
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
 class FragmentedMessageTest {
 
@@ -44,8 +46,8 @@
   }
 
   /**
-   * A segment ends an informational response and starts the final one. What followed was taken for
-   * the start of another response, and rejected.
+   * A segment contains the end of an informational response and the start of the final one. The
+   * bytes that follow must not be rejected as the start of another response.
    */
   @ParameterizedTest
   @CsvSource(
@@ -84,7 +86,10 @@
     }
   }
 
-  /** The same, and then nothing more: the client waited until its timeout. */
+  /**
+   * Nothing follows that segment: the attempt ends at once, instead of letting the client wait
+   * until its timeout.
+   */
   @ParameterizedTest
   @ValueSource(
       strings = {
@@ -108,7 +113,7 @@
     }
   }
 
-  /** An informational response does not start the time limit of the final one. */
+  /** An informational response does not start the time limit of the final response. */
   @Test
   void waitsForTheFinalResponseAfterAnInformationalOne() throws Exception {
     ScriptedEngine engine = new ScriptedEngine(LONG_TIMEOUT_NANOS);
@@ -117,7 +122,7 @@
                 c -> {
                   c.readRequest();
                   c.write(INFORMATIONAL);
-                  Thread.sleep(500); // Longer than an answer may take that has begun.
+                  Thread.sleep(500); // Longer than a response may take once it has begun.
                   c.write(FakeServer.ok("ok"));
                   c.awaitClose();
                 });
@@ -128,7 +133,7 @@
     }
   }
 
-  /** Every byte is written by itself. */
+  /** Each byte of the response is written separately. */
   @ParameterizedTest
   @ValueSource(
       strings = {
@@ -155,7 +160,7 @@
     }
   }
 
-  /** A client that writes slowly: its request is forwarded as it was. */
+  /** The client writes each byte separately; its request is forwarded unchanged. */
   @ParameterizedTest
   @ValueSource(
       strings = {
--- a/src/test/java/loadbalancer/proxy/GracefulShutdownTest.java
+++ b/src/test/java/loadbalancer/proxy/GracefulShutdownTest.java
@@ -25,13 +25,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** A proxy shuts down while clients go on sending. */
+/** A proxy shuts down while clients continue to send requests. */
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
 class GracefulShutdownTest {
 
   private static final String HEALTH_REQUEST = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
 
-  /** Makes a request a cue, at which the engine runs a test's step on the event loop. */
+  /** Header of a trigger request, at which the engine runs the test's step on the event loop. */
   private static final String TRIGGER_HEADER = "X-Size-Hint: 7\r\n";
 
   private static BalancerConfig config(long deadlineMillis) throws IOException {
@@ -53,7 +53,7 @@
 
   private static void awaitEnd(Thread shutdown) throws InterruptedException {
     shutdown.join(TimeUnit.SECONDS.toMillis(ProxyFixture.TIMEOUT_SECONDS));
-    assertTrue(!shutdown.isAlive(), "ends");
+    assertTrue(!shutdown.isAlive(), "terminates");
   }
 
   private static void write(Client client, String text) {
@@ -64,7 +64,7 @@
     }
   }
 
-  /** SIGKILL may come 0.7 s after the longest deadline, counted from SIGTERM. */
+  /** SIGKILL may come at the longest deadline plus 0.7 s, counted from SIGTERM. */
   @Test
   void completesAllRequestsBeforeSigkillMayCome() throws IOException {
     String text =
@@ -78,8 +78,8 @@
   }
 
   /**
-   * The loop is busy while the request comes, and closes before it reads its sockets again: that
-   * was a reset.
+   * The event loop is busy when the request arrives, and closes idle connections before it reads
+   * its sockets again. Closing the socket with the unread request would reset the connection.
    */
   @Test
   void servesARequestThatIsInTheKernelWhenIdleConnectionsClose() throws Exception {
@@ -101,11 +101,11 @@
         Client other = proxy.client()) {
       started.set(proxy);
       idle.set(client);
-      assertNotNull(client.exchange(HEALTH_REQUEST), "open, and then idle");
+      assertNotNull(client.exchange(HEALTH_REQUEST), "open and then idle");
       assertTrue(
-          other.exchange(ProxyFixture.get("cue", TRIGGER_HEADER)).startsWith("HTTP/1.1 429 "));
+          other.exchange(ProxyFixture.get("trigger", TRIGGER_HEADER)).startsWith("HTTP/1.1 429 "));
       String response = client.readResponse();
-      assertNotNull(response, "closed over the request");
+      assertNotNull(response, "closed despite an unread request");
       assertTrue(
           response.startsWith("HTTP/1.1 429 ") && response.contains("connection: close\r\n"),
           response);
@@ -113,9 +113,12 @@
     }
   }
 
-  /** What meets a request in one turn of the loop, before that reads its sockets again. */
+  /**
+   * An operation in the event loop turn in which a request arrives, before the loop reads its
+   * sockets again.
+   */
   private enum ConcurrentOperation {
-    /** The listener closes over a connection that the system has accepted, with its request. */
+    /** The listener closes while a connection with a request is in the kernel's queue. */
     LISTENER_CLOSES {
       @Override
       Client perform(ProxyFixture proxy, Client open) throws IOException {
@@ -124,7 +127,7 @@
         return accepted;
       }
     },
-    /** A complete request's connection has no more time to send one. */
+    /** The time for incomplete requests ends while a complete request is unread. */
     INCOMPLETE_REQUESTS_EXPIRE {
       @Override
       Client perform(ProxyFixture proxy, Client open) throws IOException {
@@ -138,12 +141,12 @@
      * Runs on the event loop.
      *
      * @param open a client that has not sent anything
-     * @return the client whose request crosses
+     * @return the client whose request is unread
      */
     abstract Client perform(ProxyFixture proxy, Client open) throws IOException;
   }
 
-  /** It was a reset, or an error. */
+  /** The client must get a response instead of a reset or an error for an incomplete request. */
   @ParameterizedTest
   @EnumSource(ConcurrentOperation.class)
   void respondsToARequestThatIsInTheKernel(ConcurrentOperation operation) throws Exception {
@@ -170,19 +173,19 @@
       started.set(proxy);
       open.set(client);
       assertTrue(
-          other.exchange(ProxyFixture.get("cue", TRIGGER_HEADER)).startsWith("HTTP/1.1 429 "));
+          other.exchange(ProxyFixture.get("trigger", TRIGGER_HEADER)).startsWith("HTTP/1.1 429 "));
       try (Client requesting =
           requestingClient.get(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
         String response = requesting.readResponse();
-        assertNotNull(response, "closed over the request");
+        assertNotNull(response, "closed despite an unread request");
         assertTrue(response.startsWith("HTTP/1.1 429 "), response);
       }
     }
   }
 
   /**
-   * Held up right before it completes all requests in flight, the loop still does so before the
-   * earliest SIGKILL.
+   * The event loop is blocked right before it completes all requests in flight, and still does so
+   * before the earliest SIGKILL.
    */
   @Test
   void completesAllRequestsBeforeSigkillWhenTheEventLoopIsHeldUp() throws Exception {
@@ -193,7 +196,7 @@
             (event, actions) -> {
               if (event instanceof RequestArrived request && request.workHintNanos() > 0) {
                 try {
-                  Thread.sleep(450); // The time itself is what is tested.
+                  Thread.sleep(450); // The elapsed time is what is tested.
                 } catch (InterruptedException e) {
                   Thread.currentThread().interrupt();
                 }
@@ -223,8 +226,8 @@
   }
 
   /**
-   * New connections come for up to 0.4 s. Where the longest deadline was 0.3 s the process ended
-   * before that.
+   * Clients open new connections for up to 0.4 s after SIGTERM. The process must not end before
+   * that, even if the longest deadline is 0.3 s.
    */
   @Test
   void acceptsNewConnectionsForAsLongWhereDeadlinesAreShort() throws Exception {
@@ -237,7 +240,7 @@
             });
     try (ProxyFixture proxy = new ProxyFixture(config(300), engine)) {
       Thread shutdown = startShutdown(proxy);
-      Thread.sleep(400); // The time itself is what is tested.
+      Thread.sleep(400); // The elapsed time is what is tested.
       try (Client late = proxy.client()) {
         assertTrue(late.exchange(ProxyFixture.get("t", "")).startsWith("HTTP/1.1 429 "));
       }
@@ -258,20 +261,19 @@
       assertTrue(earlier.exchange(ProxyFixture.get("t1", "")).startsWith("HTTP/1.1 200 "));
       Thread shutdown = startShutdown(proxy);
       try (Client late = proxy.client()) {
-        assertTrue(
-            late.exchange(HEALTH_REQUEST).startsWith("HTTP/1.1 503 "), "sends clients elsewhere");
+        assertTrue(late.exchange(HEALTH_REQUEST).startsWith("HTTP/1.1 503 "), "health checks fail");
         assertTrue(late.exchange(ProxyFixture.get("t2", "")).startsWith("HTTP/1.1 200 "));
-        assertNull(late.readResponse(), "and the connection ends");
+        assertNull(late.readResponse(), "the connection closes after its response");
       }
-      assertNull(earlier.readResponse(), "as does one from before");
+      assertNull(earlier.readResponse(), "an earlier connection closes too");
       shutdown.join(TimeUnit.SECONDS.toMillis(ProxyFixture.TIMEOUT_SECONDS));
-      assertTrue(!shutdown.isAlive(), "ends once no client is left");
+      assertTrue(!shutdown.isAlive(), "terminates once no client is left");
     }
   }
 
   /**
-   * Held to the end: what is in flight fails, what waits behind it is rejected, and half a request
-   * is timed out.
+   * At the expiry, the request in flight fails, the one that waits behind it is rejected, and an
+   * incomplete request is timed out.
    */
   @Test
   void respondsToEverythingBeforeTheEnd() throws Exception {
@@ -283,11 +285,11 @@
       assertEquals("r0", engine.awaitEvent(RequestArrived.class).requestId());
       Thread shutdown = startShutdown(proxy);
       assertNotNull(slow.exchange(HEALTH_REQUEST));
-      // Begun before idle connections are closed, and late enough not to time out by itself.
+      // Sent before idle connections are closed, and late enough not to reach its own time limit.
       Thread.sleep(1700);
       slow.write("POST /api HT");
       assertTrue(client.readResponse().startsWith("HTTP/1.1 500 "), "in flight");
-      assertTrue(client.readResponse().startsWith("HTTP/1.1 503 "), "it has not been attempted");
+      assertTrue(client.readResponse().startsWith("HTTP/1.1 503 "), "not attempted");
       assertTrue(slow.readResponse().startsWith("HTTP/1.1 408 "));
       awaitEnd(shutdown);
     }
--- a/src/test/java/loadbalancer/proxy/LargeFleetIT.java
+++ b/src/test/java/loadbalancer/proxy/LargeFleetIT.java
@@ -30,10 +30,11 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The program as it is deployed, at its limits of memory and descriptors, in a large fleet. */
+/** The packaged program in a large fleet, at its limits of memory and descriptors. */
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
 class LargeFleetIT {
 
+  /** The number of endpoints and of instances, and the limit of file descriptors. */
   private static final int FLEET_SIZE = 1024;
 
   @TempDir Path folder;
@@ -50,7 +51,7 @@
     return Files.readString(folder.resolve("err"));
   }
 
-  /** Starts it by {@code run}; returns the port at which it serves. */
+  /** Starts the program by {@code deploy/run.sh}, and returns the port on which it listens. */
   private int start(String config, int descriptors) throws IOException, InterruptedException {
     Files.writeString(folder.resolve("config"), config);
     File err = folder.resolve("err").toFile();
@@ -83,7 +84,7 @@
     }
   }
 
-  /** Of many endpoints only one is ready. */
+  /** Returns a list of many endpoints, of which only one is ready. */
   private static String list(int revision, int ready, String address) {
     return ProxyFixture.list(
         revision,
@@ -104,14 +105,14 @@
         .replace("}", "\n        }");
   }
 
-  /** The addresses of as many instances. */
+  /** Returns the setting with the addresses of all instances. */
   private static String peers() {
     return IntStream.range(0, FLEET_SIZE)
         .mapToObj(i -> "\"127.0." + i / 250 + "." + (i % 250 + 1) + ":7946\"")
         .collect(Collectors.joining(",", "\"peers\":[", "],"));
   }
 
-  /** By lists that come indented. */
+  /** Discovery's lists are indented over many lines. */
   @Test
   void servesAThousandEndpointsAndInstancesInTheLeastMemory() throws Exception {
     CountDownLatch listChanged = new CountDownLatch(1);
@@ -141,18 +142,19 @@
       int port = start(config, FLEET_SIZE);
       assertTrue(log().contains(" endpoints=" + FLEET_SIZE + " "), log());
       assertTrue(
-          exchangeOnNewConnection(port, "t1").endsWith("\r\n\r\nlast"), "the end of the list");
+          exchangeOnNewConnection(port, "t1").endsWith("\r\n\r\nlast"),
+          "the last entry of the list");
       listChanged.countDown();
       for (int i = 0; !exchangeOnNewConnection(port, "u" + i).endsWith("\r\n\r\nfirst"); i++) {
         Thread.sleep(10);
       }
-      assertEquals(1, discovery.connections.size(), "the watch still stands: " + log());
+      assertEquals(1, discovery.connections.size(), "the watch is still open: " + log());
       assertFalse(log().contains("OutOfMemory"), log());
       assertTrue(process.isAlive(), log());
     }
   }
 
-  /** An upstream that responds once the latch is open. */
+  /** Returns an upstream that responds once the latch has reached zero. */
   private static FakeServer upstreamRespondingAfter(CountDownLatch responseAllowed)
       throws IOException {
     return new FakeServer(
@@ -164,7 +166,9 @@
         });
   }
 
-  /** Discovery that resets every connection until it is up, and then lists one endpoint. */
+  /**
+   * Returns a discovery that resets every connection until it is up, and then lists one endpoint.
+   */
   private static FakeServer discovery(AtomicBoolean isUp, FakeServer listed) throws IOException {
     return new FakeServer(
         connection -> {
@@ -178,7 +182,9 @@
         });
   }
 
-  /** Sends requests to both known endpoints until one of them waits at the slow one. */
+  /**
+   * Sends requests to both known endpoints until one of the requests waits at the slow endpoint.
+   */
   private static List<Socket> openRequests(int port, FakeServer slow)
       throws IOException, InterruptedException {
     List<Socket> open = new ArrayList<>();
@@ -193,7 +199,9 @@
     return open;
   }
 
-  /** Connects more clients than there are descriptors; each gets a response, and stays. */
+  /**
+   * Connects more clients than there are descriptors; each gets a response and does not disconnect.
+   */
   private static void connectIdle(int port, List<Socket> idle) throws IOException {
     for (int i = 0; i < 500; i++) {
       Socket client = new Socket(InetAddress.getLoopbackAddress(), port);
@@ -218,14 +226,14 @@
 
   private void assertLowCpuUse() throws InterruptedException {
     Duration before = process.info().totalCpuDuration().orElseThrow();
-    Thread.sleep(2000); // The time itself is what is tested.
+    Thread.sleep(2000); // The elapsed time is what is tested.
     long usedMillis = process.info().totalCpuDuration().orElseThrow().minus(before).toMillis();
-    assertTrue(usedMillis < 700, "with nothing to do it used " + usedMillis + " ms in 2 s");
+    assertTrue(usedMillis < 700, "used while idle: " + usedMillis + " ms of CPU time in 2 s");
   }
 
   /**
-   * Idle clients fill all that they can while discovery is down. Open requests get their responses,
-   * new ones are served, discovery is found when it is back, and nothing spins.
+   * Idle clients use up the descriptors while discovery is down. Open requests get their responses,
+   * new ones are served, discovery is reached again when it is back, and there is no busy loop.
    */
   @Test
   void servesAndFindsDiscoveryWhenIdleClientsFillTheDescriptors() throws Exception {
@@ -248,7 +256,7 @@
       connectIdle(port, idle);
       assertTrue(
           exchangeOnNewConnection(port, "while-down").startsWith("HTTP/1.1 "),
-          "and a request a final one");
+          "a new request gets a final response");
       assertLowCpuUse();
       isUp.set(true);
       while (!log().contains("discovery_recovered")) {
--- a/src/test/java/loadbalancer/proxy/ProxyTest.java
+++ b/src/test/java/loadbalancer/proxy/ProxyTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What clients and upstreams see, over real connections. */
+/** The behavior that clients and upstreams see over real connections. */
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
 class ProxyTest {
 
@@ -47,7 +47,7 @@
       assertTrue(received.contains("X-Trace-Id: t1\r\n") && !received.contains("X-Hop"), received);
       assertTrue(
           received.matches("(?s).*X-Expires-In-Ms: 29\\d{3}\r\n.*"),
-          "says how long it waits: " + received);
+          "says how long the proxy waits: " + received);
       response =
           client.exchange(
               ProxyFixture.post(
@@ -59,8 +59,8 @@
               && received.contains("Idempotency-Key: k2\r\n")
               && received.endsWith("\r\n\r\na body"),
           received);
-      // Connections rest before they are reused: asked often enough, a request comes on one that is
-      // there already.
+      // Connections become reusable after a quiet period: with enough requests, one is sent on an
+      // existing connection.
       for (int before = -1; before != upstream.connections.size(); ) {
         before = upstream.connections.size();
         client.exchange(ProxyFixture.get("again" + before, ""));
--- a/src/test/java/loadbalancer/proxy/ReloadOrderTest.java
+++ b/src/test/java/loadbalancer/proxy/ReloadOrderTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A reload and another event in one turn of the event loop, in each order; and a reload while
+ * A reload and another event in one turn of the event loop, in each order, and a reload while
  * discovery is down.
  */
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
@@ -42,7 +42,7 @@
 
   private final EventLoopSteps steps = new EventLoopSteps();
 
-  private static BalancerConfig pushedConfig(String discovery, String known) throws IOException {
+  private static BalancerConfig config(String discovery, String known) throws IOException {
     return ProxyFixture.config(discovery, known, "pushed", 200, 1024, "");
   }
 
@@ -66,45 +66,44 @@
     }
   }
 
-  /** Both are asked for in one turn of the loop. */
+  /** A reload and a shutdown are requested in one turn of the event loop. */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
   void carriesOutAReloadAndAShutdownInOneTurn(boolean shutdownFirst) throws Exception {
     ScriptedEngine engine = steps.engine("s-1", TimeUnit.SECONDS.toNanos(30));
-    try (FakeServer newDiscovery = new FakeServer(FakeServer.Connection::awaitClose);
+    try (FakeServer replacement = new FakeServer(FakeServer.Connection::awaitClose);
         ProxyFixture proxy =
-            new ProxyFixture(
-                pushedConfig(UNREACHABLE_ADDRESS, ProxyFixture.list(1, true)), engine);
-        Client triggerClient = proxy.client();
+            new ProxyFixture(config(UNREACHABLE_ADDRESS, ProxyFixture.list(1, true)), engine);
+        Client trigger = proxy.client();
         Client other = proxy.client()) {
       Thread shutdown = new Thread(proxy.server::shutDownGracefully);
       steps.add(
           actions -> {
             if (shutdownFirst) {
               shutdown.start();
-              EventLoopSteps.sleep(100); // It waits for the loop by then.
+              EventLoopSteps.sleep(100); // It waits for the event loop by then.
             }
-            reload(proxy, newDiscovery);
+            reload(proxy, replacement);
             if (!shutdownFirst) {
               shutdown.start();
               EventLoopSteps.sleep(100);
             }
           });
-      String triggerResponse =
-          triggerClient.exchange(ProxyFixture.get("cue", EventLoopSteps.TRIGGER_HEADER));
-      assertTrue(triggerResponse.startsWith("HTTP/1.1 429 "));
+      String response =
+          trigger.exchange(ProxyFixture.get("trigger", EventLoopSteps.TRIGGER_HEADER));
+      assertTrue(response.startsWith("HTTP/1.1 429 "));
       assertNotNull(
-          newDiscovery.connections.poll(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS),
-          "discovery is followed");
+          replacement.connections.poll(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS),
+          "connects to the new discovery");
       String health = other.exchange("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
-      assertTrue(health.startsWith("HTTP/1.1 503 "), "it shuts down");
+      assertTrue(health.startsWith("HTTP/1.1 503 "), "the proxy is shutting down");
       shutdown.join(TimeUnit.SECONDS.toMillis(ProxyFixture.TIMEOUT_SECONDS));
-      assertTrue(!shutdown.isAlive(), "ends");
+      assertTrue(!shutdown.isAlive(), "terminates");
     }
   }
 
-  /** Discovery that sends one list to every watch, and keeps it open. */
-  private static FakeServer discoverySending(String list) throws IOException {
+  /** Returns an agent that sends one list to every watch and keeps the watch open. */
+  private static FakeServer agentSending(String list) throws IOException {
     return new FakeServer(
         connection -> {
           connection.readRequest();
@@ -114,9 +113,10 @@
   }
 
   /**
-   * Discovery that sends one list and resets the watch at the first latch, then opens the second.
+   * Returns an agent that sends one list, resets the watch when {@code close} reaches zero, and
+   * then counts down {@code closed}.
    */
-  private static FakeServer resettingDiscovery(CountDownLatch close, CountDownLatch closed)
+  private static FakeServer resettingAgent(CountDownLatch close, CountDownLatch closed)
       throws IOException {
     return new FakeServer(
         connection -> {
@@ -128,7 +128,7 @@
         });
   }
 
-  /** The old discovery ends the watch in the turn of the reload, before or after it. */
+  /** The old discovery resets the watch in the turn of the reload, before or after it. */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
   void keepsOneWatchWhenTheOldDiscoveryClosesInTheTurnOfTheReload(boolean closedFirst)
@@ -136,14 +136,12 @@
     CountDownLatch close = new CountDownLatch(1);
     CountDownLatch closed = new CountDownLatch(1);
     ScriptedEngine engine = steps.engine("s-1", 0);
-    try (FakeServer oldDiscovery = resettingDiscovery(close, closed);
-        FakeServer newDiscovery =
-            discoverySending(ProxyFixture.list(3, true, READY, OTHER_DRAINING));
+    try (FakeServer former = resettingAgent(close, closed);
+        FakeServer replacement = agentSending(ProxyFixture.list(3, true, READY, OTHER_DRAINING));
         ProxyFixture proxy =
-            new ProxyFixture(
-                pushedConfig(oldDiscovery.address(), ProxyFixture.list(1, true, READY)), engine);
-        Client triggerClient = proxy.client();
-        Client secondTriggerClient = proxy.client()) {
+            new ProxyFixture(config(former.address(), ProxyFixture.list(1, true, READY)), engine);
+        Client trigger = proxy.client();
+        Client secondTrigger = proxy.client()) {
       assertEquals(UpdateKind.CACHED, engine.awaitEvent(EndpointListUpdate.class).kind());
       assertEquals(UpdateKind.FULL, engine.awaitEvent(EndpointListUpdate.class).kind());
       steps.add(
@@ -151,22 +149,22 @@
             if (closedFirst) {
               close.countDown();
               await(closed);
-              // Read with the reset; the reload comes after both.
-              write(secondTriggerClient, ProxyFixture.get("cue-2", EventLoopSteps.TRIGGER_HEADER));
+              // Read in the same turn as the reset, and handled after it: then the reload follows.
+              write(secondTrigger, ProxyFixture.get("trigger-2", EventLoopSteps.TRIGGER_HEADER));
             } else {
-              reload(proxy, newDiscovery);
+              reload(proxy, replacement);
               close.countDown();
               await(closed);
             }
           });
       if (closedFirst) {
-        steps.add(actions -> reload(proxy, newDiscovery));
+        steps.add(actions -> reload(proxy, replacement));
       }
-      triggerClient.exchange(ProxyFixture.get("cue-1", EventLoopSteps.TRIGGER_HEADER));
+      trigger.exchange(ProxyFixture.get("trigger-1", EventLoopSteps.TRIGGER_HEADER));
       EndpointListUpdate update = engine.awaitEvent(EndpointListUpdate.class);
-      assertEquals(2, update.endpoints().size(), "by the new discovery's list");
-      EventLoopSteps.sleep(1000); // Longer than the wait before the agent is called again.
-      assertEquals(1, newDiscovery.connections.size(), "one watch at the new address");
+      assertEquals(2, update.endpoints().size(), "from the new discovery's list");
+      EventLoopSteps.sleep(1000); // Longer than the longest backoff.
+      assertEquals(1, replacement.connections.size(), "one watch at the new address");
       assertNull(
           engine.events.stream()
               .filter(event -> event instanceof EndpointListUpdate)
@@ -176,18 +174,18 @@
   }
 
   /**
-   * The new discovery is down at the reload, and back with a drain: it has to be known 4 s after
-   * the signal.
+   * The new discovery is down at the reload, and reports a drain when it is back. The drain has to
+   * be known 4 s after the signal.
    */
   @Test
   void learnsOfDrainsInTimeWhenTheNewDiscoveryIsDownAtTheReload() throws Exception {
     AtomicInteger calls = new AtomicInteger();
     ScriptedEngine engine = steps.engine("s-1", 0);
-    try (FakeServer oldDiscovery = discoverySending(ProxyFixture.list(2, true, READY));
-        FakeServer newDiscovery =
+    try (FakeServer former = agentSending(ProxyFixture.list(2, true, READY));
+        FakeServer replacement =
             new FakeServer(
                 connection -> {
-                  // Resets as often as it takes for the longest backoff, then is silent, and only
+                  // Resets until the backoff is at its maximum, then stays silent once, and only
                   // then responds.
                   if (calls.incrementAndGet() <= 5) {
                     connection.reset();
@@ -201,12 +199,11 @@
                   }
                 });
         ProxyFixture proxy =
-            new ProxyFixture(
-                pushedConfig(oldDiscovery.address(), ProxyFixture.list(1, true, READY)), engine)) {
+            new ProxyFixture(config(former.address(), ProxyFixture.list(1, true, READY)), engine)) {
       engine.awaitEvent(EndpointListUpdate.class);
       assertEquals(UpdateKind.FULL, engine.awaitEvent(EndpointListUpdate.class).kind());
       long reloadedAt = System.nanoTime();
-      reload(proxy, newDiscovery);
+      reload(proxy, replacement);
       EndpointListUpdate update = engine.awaitEvent(EndpointListUpdate.class);
       assertEquals(
           List.of(EndpointState.DRAINING),
--- a/src/test/java/loadbalancer/proxy/ReloadTest.java
+++ b/src/test/java/loadbalancer/proxy/ReloadTest.java
@@ -29,8 +29,7 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * A configuration that is read again while the proxy serves, and endpoint lists that are not to be
- * believed.
+ * Reloads of the configuration while the proxy is running, and endpoint lists that must be ignored.
  */
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
 class ReloadTest {
@@ -52,7 +51,7 @@
         });
   }
 
-  /** An engine that has discovery watched. */
+  /** Returns an engine that watches discovery. */
   private static ScriptedEngine watchingEngine() {
     return new ScriptedEngine(
         (event, actions) -> {
@@ -86,7 +85,8 @@
       String request = newDiscovery.requests.take();
       assertTrue(request.startsWith("GET /v1/servers?follow=1&since=2 HTTP/1.1\r\n"));
       assertTrue(
-          oldDiscovery.connections.take().awaitScriptEnd(), "nothing is left at the old address");
+          oldDiscovery.connections.take().awaitScriptEnd(),
+          "the connection to the old address is closed");
     }
   }
 
@@ -107,11 +107,14 @@
         String health = client.exchange("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
         assertTrue(health.startsWith("HTTP/1.1 200 "));
       }
-      assertEquals(1, discovery.connections.size(), "the watch still stands");
+      assertEquals(1, discovery.connections.size(), "the watch is still open");
     }
   }
 
-  /** Each signal has a thread of its own: the file that was read first must not be applied last. */
+  /**
+   * Each signal is handled on its own thread: the file that was read first must not be applied
+   * last.
+   */
   @Test
   void appliesTheLaterFileOfTwoReloadsAtOnce() throws Exception {
     try (FakeServer oldDiscovery = new FakeServer(FakeServer.Connection::readRequest);
@@ -124,8 +127,8 @@
       proxy.server.reload(
           () -> {
             secondReload.start();
-            // The second signal's thread has either applied its file, or waits for this one to be
-            // through.
+            // The second signal's thread has either applied its file, or waits for this reload to
+            // end.
             while (secondReload.getState() != Thread.State.BLOCKED
                 && secondReload.getState() != Thread.State.TERMINATED) {
               Thread.onSpinWait();
@@ -133,14 +136,14 @@
             return pushedConfig(firstReloaded);
           });
       secondReload.join();
-      // Applied last it is watched from here on: its agents end every watch, and each end brings
-      // the next one.
+      // Discovery is now watched at the address in the last file: its agent ends every watch, and
+      // each end causes the next one.
       lastReloaded.requests.clear();
       assertNotNull(lastReloaded.requests.poll(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS));
     }
   }
 
-  /** The environment still names what the file named at the process's start. */
+  /** The environment still holds what the file held at the start of the process. */
   @Test
   void prefersTheFileToTheEnvironment() throws Exception {
     String text =
@@ -153,7 +156,7 @@
     assertEquals("n7", BalancerConfig.parse(unnamed, environment).name());
   }
 
-  /** How many endpoints are known after each of these lists. */
+  /** Returns the number of known endpoints after each of these lists. */
   private static List<Integer> sizes(EndpointList... lists) {
     EndpointDirectory directory = new EndpointDirectory(new MonotonicClock());
     return Arrays.stream(lists)
@@ -175,7 +178,7 @@
     return new EndpointList(revision, complete, members);
   }
 
-  /** Discovery that lags would bring back what has gone. */
+  /** A list from a discovery that lags behind would bring back endpoints that are gone. */
   @Test
   void ignoresAnOlderRevisionOfTheList() {
     assertEquals(
@@ -184,7 +187,9 @@
             list(5, true, "a"), list(4, true, "a", "b"), list(4, false, "c"), list(6, false, "d")));
   }
 
-  /** Discovery that has lost its list would take the service away. */
+  /**
+   * A discovery that has lost its list sends an empty one, which would leave no endpoint to serve.
+   */
   @Test
   void ignoresAnEmptyList() {
     assertEquals(
--- a/src/test/java/loadbalancer/proxy/RemainingTimeTest.java
+++ b/src/test/java/loadbalancer/proxy/RemainingTimeTest.java
@@ -33,8 +33,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The timeout that an attempt announces to its upstream: never more than its client still waits
- * when it is written.
+ * The timeout that an attempt announces to its upstream never exceeds the time that the client
+ * still waits when the attempt is written.
  */
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
 class RemainingTimeTest {
@@ -44,7 +44,7 @@
   private static final Pattern TIMEOUT_HEADER =
       Pattern.compile("X-Expires-In-Ms: (\\d+)\r\n", Pattern.CASE_INSENSITIVE);
 
-  private static long announcedMillis(String request) {
+  private static long timeoutMillis(String request) {
     Matcher matcher = TIMEOUT_HEADER.matcher(request);
     assertTrue(matcher.find(), request);
     return Long.parseLong(matcher.group(1));
@@ -54,7 +54,7 @@
     return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos);
   }
 
-  private static BalancerConfig twoEndpointConfig(String first, String second) throws IOException {
+  private static BalancerConfig config(String first, String second) throws IOException {
     return ProxyFixture.config(
         UNREACHABLE_ADDRESS,
         ProxyFixture.list(
@@ -69,13 +69,12 @@
   }
 
   /**
-   * The first attempt, or a further one, waits for its connection; announced was the time that was
-   * left when the attempt was decided.
+   * The first attempt or a further one waits for its connection. The announced timeout must be the
+   * time that is left when the attempt is written, not when it was decided.
    */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void announcesTheTimeLeftWhenAConnectionIsEstablishedLate(boolean isFurtherAttempt)
-      throws Exception {
+  void announcesTheTimeLeftWhenAConnectionIsEstablishedLate(boolean isRetry) throws Exception {
     ScriptedEngine engine =
         new ScriptedEngine(
             (event, out) -> {
@@ -83,40 +82,33 @@
                 out.accept(
                     new StartAttempt(
                         arrived.requestId(),
-                        DiscoveryMessages.endpointId(isFurtherAttempt ? "s-1" : "s-2"),
+                        DiscoveryMessages.endpointId(isRetry ? "s-1" : "s-2"),
                         0));
-              } else if (event instanceof AttemptEnded ended
-                  && isFurtherAttempt
-                  && ended.attempt() == 0) {
+              } else if (event instanceof AttemptEnded end && isRetry && end.attempt() == 0) {
                 out.accept(
-                    new StartAttempt(ended.requestId(), DiscoveryMessages.endpointId("s-2"), 0));
-              } else if (event instanceof AttemptEnded ended && !ended.isRequestAnswered()) {
-                out.accept(new FailRequest(ended.requestId()));
+                    new StartAttempt(end.requestId(), DiscoveryMessages.endpointId("s-2"), 0));
+              } else if (event instanceof AttemptEnded end && !end.isRequestAnswered()) {
+                out.accept(new FailRequest(end.requestId()));
               }
             });
     try (FakeServer rejecting =
             FakeServer.respondingWith(
                 "HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n");
         UnresponsiveUpstream late = new UnresponsiveUpstream();
-        ProxyFixture proxy =
-            new ProxyFixture(twoEndpointConfig(rejecting.address(), late.address()), engine);
+        ProxyFixture proxy = new ProxyFixture(config(rejecting.address(), late.address()), engine);
         Client client = proxy.client()) {
       long startNanos = System.nanoTime();
       client.write(ProxyFixture.get("t", "X-Expires-In-Ms: 30000\r\n"));
       engine.awaitEvent(RequestArrived.class);
-      if (isFurtherAttempt) {
+      if (isRetry) {
         assertEquals(AttemptStatus.REJECTED, engine.awaitEvent(AttemptEnded.class).status());
       }
-      // The lateness itself is what is tested: the backlog has no room before this is over.
-      Thread.sleep(400);
-      long elapsedMillis = millisSince(startNanos);
+      Thread.sleep(400); // The backlog is full until then; the delay is what is tested.
+      long elapsed = millisSince(startNanos);
       try (Socket connection = late.accept()) {
-        long announced =
-            announcedMillis(FakeServer.MessageReader.read(connection.getInputStream()));
-        assertTrue(
-            announced <= 30_000 - elapsedMillis,
-            "told " + announced + " ms of 30000 when " + elapsedMillis + " had passed");
-        assertTrue(announced > 0, "told " + announced);
+        long timeout = timeoutMillis(FakeServer.MessageReader.read(connection.getInputStream()));
+        assertTrue(timeout <= 30_000 - elapsed, "got " + timeout + " after " + elapsed + " ms");
+        assertTrue(timeout > 0, "got " + timeout);
         connection.getOutputStream().write(FakeServer.ok("x").getBytes(StandardCharsets.US_ASCII));
         assertTrue(client.readResponse().startsWith("HTTP/1.1 200 "));
       }
@@ -124,8 +116,8 @@
   }
 
   /**
-   * The event loop is held up until the time of a request is over; its connection is established
-   * meanwhile, and is seen before the timer.
+   * The event loop is blocked until a request's time is over. Its connection is established
+   * meanwhile, which the loop handles before the timer.
    */
   @Test
   void doesNotWriteAnAttemptWhoseTimeIsOverWhenItsConnectionIsEstablished() throws Exception {
@@ -152,8 +144,7 @@
               }
             });
     try (UnresponsiveUpstream late = new UnresponsiveUpstream();
-        ProxyFixture proxy =
-            new ProxyFixture(twoEndpointConfig(UNREACHABLE_ADDRESS, late.address()), engine);
+        ProxyFixture proxy = new ProxyFixture(config(UNREACHABLE_ADDRESS, late.address()), engine);
         Client client = proxy.client();
         Client other = proxy.client()) {
       upstream.set(late);
@@ -169,8 +160,8 @@
   }
 
   /**
-   * Pipelined requests arrive with the first one; each had its whole timeout anew when its turn
-   * came.
+   * Pipelined requests arrive with the first one. The time for which they wait for their turn
+   * counts towards their timeouts.
    */
   @Test
   void countsTheTimeThatPipelinedRequestsWaitForTheirTurn() throws Exception {
@@ -185,7 +176,7 @@
                 });
         ProxyFixture proxy =
             new ProxyFixture(
-                twoEndpointConfig(upstream.address(), UNREACHABLE_ADDRESS),
+                config(upstream.address(), UNREACHABLE_ADDRESS),
                 new ScriptedEngine(LONG_TIMEOUT_NANOS));
         Client client = proxy.client()) {
       client.write(
@@ -193,27 +184,21 @@
               + ProxyFixture.get("brief", "X-Expires-In-Ms: 300\r\n")
               + ProxyFixture.get("patient", "X-Expires-In-Ms: 30000\r\n"));
       assertNotNull(upstream.requests.poll(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS));
-      long startNanos = System.nanoTime(); // All three have come by now: they are one small write.
-      Thread.sleep(400); // The time itself is what is tested.
-      long elapsedMillis = millisSince(startNanos);
+      long startNanos = System.nanoTime(); // All three have arrived: they are one small write.
+      Thread.sleep(400); // The elapsed time is what is tested.
+      long elapsed = millisSince(startNanos);
       responseAllowed.countDown();
       assertTrue(client.readResponse().startsWith("HTTP/1.1 200 "));
-      String expiredResponse = client.readResponse();
-      assertTrue(
-          expiredResponse.startsWith("HTTP/1.1 50") || expiredResponse.startsWith("HTTP/1.1 429 "),
-          expiredResponse);
+      String expired = client.readResponse();
+      assertTrue(expired.startsWith("HTTP/1.1 50") || expired.startsWith("HTTP/1.1 429 "), expired);
       assertTrue(client.readResponse().startsWith("HTTP/1.1 200 "));
-      String forwardedRequest = upstream.requests.take();
+      String forwarded = upstream.requests.take();
       assertTrue(
-          forwardedRequest.contains("X-Trace-Id: patient\r\n"),
-          "its time was over, and it was sent on: " + forwardedRequest);
+          forwarded.contains("X-Trace-Id: patient\r\n"),
+          "forwarded after its timeout: " + forwarded);
       assertTrue(
-          announcedMillis(forwardedRequest) <= 30_000 - elapsedMillis,
-          "told "
-              + announcedMillis(forwardedRequest)
-              + " ms of 30000 when "
-              + elapsedMillis
-              + " had passed");
+          timeoutMillis(forwarded) <= 30_000 - elapsed,
+          "got " + timeoutMillis(forwarded) + " after " + elapsed + " ms");
       assertNull(upstream.requests.poll());
     }
   }
--- a/src/test/java/loadbalancer/proxy/RequestDispatcherTest.java
+++ b/src/test/java/loadbalancer/proxy/RequestDispatcherTest.java
@@ -84,7 +84,7 @@
       assertEquals(
           engine.awaitEvent(RequestArrived.class).requestId(),
           engine.awaitEvent(ClientDisconnected.class).requestId(),
-          "the engine is told that none is owed any more");
+          "the engine is notified that none is owed any more");
     }
   }
 
@@ -160,7 +160,8 @@
   }
 
   /**
-   * The loop is held up while a request with little time comes: the time is over when it is read.
+   * The event loop is blocked while a request with a short timeout arrives: its time is over when
+   * it is read.
    */
   @Test
   void doesNotForwardARequestThatLayUnreadForItsTime() throws Exception {
@@ -202,7 +203,8 @@
   }
 
   /**
-   * Holds the loop up for longer than the brief request's time, counted from when that was written.
+   * Blocks the event loop for longer than the request's timeout, counted from when the request was
+   * written.
    */
   private static void blockEventLoop(CountDownLatch written) {
     try {
--- a/src/test/java/loadbalancer/proxy/StartupTest.java
+++ b/src/test/java/loadbalancer/proxy/StartupTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The warm-up, and the wait for discovery. */
+/** The warm-up and the wait for discovery at the start. */
 class StartupTest {
 
   private static final long LONG_MILLIS = TimeUnit.MINUTES.toMillis(1);
@@ -37,7 +37,7 @@
     return BalancerConfig.read(Map.of("ROUTER_CONFIG", "deploy/example.json")).settings();
   }
 
-  /** The settings of one of so many instances, for a tenant with this quota a second. */
+  /** Returns the settings of one of so many instances, with a tenant of this quota per second. */
   private static Settings settings(String quota, int instances) throws IOException {
     String text =
         Files.readString(Path.of("deploy/example.json"))
@@ -52,8 +52,8 @@
   }
 
   /**
-   * Bounded by the clock it once made 17 of its 2,000 requests at half a core, and the code was not
-   * compiled.
+   * A warm-up that was limited by time served 17 of 2,000 requests at half a core, and left the
+   * code uncompiled.
    */
   @Test
   void warmUpServesAllItsRequestsHoweverLongThatTakes() throws IOException {
@@ -61,8 +61,8 @@
   }
 
   /**
-   * With 200 requests for each, a restart of most of a large fleet was an outage of three seconds,
-   * one of them these.
+   * With 200 requests for each instance, a restart of most of a large fleet was an outage of 3 s,
+   * of which the warm-up took 1 s.
    */
   @Test
   void warmUpIsShorterWhereThereIsLessToServe() throws IOException {
@@ -73,29 +73,30 @@
   }
 
   /**
-   * Its clients once went on for seconds after its end, rejected by a proxy whose upstream was
-   * closed.
+   * Clients that are not stopped keep sending for seconds after the end of the warm-up, and are
+   * rejected by a proxy whose upstream is closed.
    */
   @Test
   void warmUpThatIsCutShortSendsNothingMore() throws IOException {
-    Result count = WarmUp.run(settings(), 0);
-    assertTrue(count.sent() < WarmUp.MAX_REQUESTS, () -> "went on after its end: " + count);
+    Result result = WarmUp.run(settings(), 0);
+    assertTrue(result.sent() < WarmUp.MAX_REQUESTS, () -> "sent more after the end: " + result);
   }
 
   /**
-   * A third of its attempts once counted as broken, which ejected its endpoints: with long
-   * objectives all are served.
+   * Responses that arrive before the write of their request is known to be complete count as
+   * resets: a third of the attempts did, and the endpoints were ejected. With long latency
+   * objectives, all requests are served.
    */
   @Test
   void warmUpEndpointsServeEveryRequest() throws IOException {
     Settings settings = ProxyFixture.config("127.0.0.1:1", ProxyFixture.list(1, true)).settings();
-    Result count = WarmUp.run(settings, LONG_MILLIS);
-    assertEquals(new Result(WarmUp.MAX_REQUESTS, WarmUp.MAX_REQUESTS, WarmUp.MAX_REQUESTS), count);
+    Result result = WarmUp.run(settings, LONG_MILLIS);
+    assertEquals(new Result(WarmUp.MAX_REQUESTS, WarmUp.MAX_REQUESTS, WarmUp.MAX_REQUESTS), result);
   }
 
   /**
-   * What discovery knows applies from a process's first moment on. A start that did not wait for it
-   * sent its first requests to what the old list still called ready.
+   * Discovery's list applies from the start of the process on. A start that does not wait for it
+   * sends its first requests to endpoints that only the old list calls ready.
    */
   @Test
   @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
@@ -125,10 +126,12 @@
       assertEquals(EndpointState.DRAINING, update.endpoints().get(0).state());
       server.shutDownNow();
     }
-    assertFalse(early.get(), "ready before the list came");
+    assertFalse(early.get(), "ready before the list arrived");
   }
 
-  /** Discovery is down: its agent is silent, and the service goes on with what was known. */
+  /**
+   * Discovery is down and its agent is silent: the proxy serves with the list of the configuration.
+   */
   @Test
   @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
   void startsWithTheKnownListWithoutDiscovery() throws Exception {
