--- a/src/main/java/loadbalancer/proxy/DiscoveryWatch.java
+++ b/src/main/java/loadbalancer/proxy/DiscoveryWatch.java
@@ -30,7 +30,7 @@
   private static final long OUTDATED_LIST_RETRY_MILLIS = 500;
 
   private final EventLoop loop;
-  private final boolean pushed;
+  private final boolean isPushed;
   private final long drainGraceNanos;
   private final EndpointDirectory directory;
   private final DiscoveryClient client;
@@ -54,7 +54,7 @@
       long drainGraceNanos,
       EndpointDirectory directory) {
     this.loop = loop;
-    this.pushed = pushed;
+    this.isPushed = pushed;
     this.drainGraceNanos = drainGraceNanos;
     this.directory = directory;
     client =
@@ -88,7 +88,7 @@
   /** Starts passing updates to a dispatcher, and opens the watch if the list is pushed. */
   void start(RequestDispatcher dispatcher) {
     this.dispatcher = dispatcher;
-    if (pushed) {
+    if (isPushed) {
       client.watch(true);
     }
   }
@@ -110,7 +110,7 @@
     if (kind != UpdateKind.FAILED) {
       firstUpdate.countDown();
     }
-    if (kind == UpdateKind.FAILED && pushed) {
+    if (kind == UpdateKind.FAILED && isPushed) {
       retryWatch();
     } else {
       consecutiveFailures = 0;
--- a/src/main/java/loadbalancer/proxy/ProxiedRequest.java
+++ b/src/main/java/loadbalancer/proxy/ProxiedRequest.java
@@ -23,8 +23,8 @@
   private final List<ProxiedAttempt> attempts = new ArrayList<>(1);
   private Future<?> expiryTimer;
   private int attemptsInFlight;
-  private boolean clientHalfClosed;
-  private boolean completed;
+  private boolean isClientHalfClosed;
+  private boolean isCompleted;
 
   /**
    * Creates a request in flight, which takes over the received message.
@@ -113,16 +113,16 @@
 
   /** Records that the client has closed its sending side. */
   void markClientHalfClosed() {
-    clientHalfClosed = true;
+    isClientHalfClosed = true;
   }
 
   boolean isClientHalfClosed() {
-    return clientHalfClosed;
+    return isClientHalfClosed;
   }
 
   /** Returns whether the request has its final response or its client has disconnected. */
   boolean isCompleted() {
-    return completed;
+    return isCompleted;
   }
 
   /**
@@ -130,13 +130,13 @@
    * shows.
    */
   boolean isClientWaiting() {
-    return !completed && !clientHalfClosed && downstream.response().isResponseAwaited();
+    return !isCompleted && !isClientHalfClosed && downstream.response().isResponseAwaited();
   }
 
   /** Completes the request without a response; a no-op if it is completed. */
   void complete() {
-    if (!completed) {
-      completed = true;
+    if (!isCompleted) {
+      isCompleted = true;
       downstream.message().release();
       if (expiryTimer != null) {
         expiryTimer.cancel(false);
--- a/src/test/java/loadbalancer/proxy/ConnectionCloseTest.java
+++ b/src/test/java/loadbalancer/proxy/ConnectionCloseTest.java
@@ -68,7 +68,7 @@
       throws Exception {
     AtomicReference<ProxyFixture> started = new AtomicReference<>();
     AtomicReference<Client> requestingClient = new AtomicReference<>();
-    String unreadInput = unread.equals("WHOLE") ? ProxyFixture.get("crossing", "") : unread;
+    String unreadInput = unread.equals("WHOLE") ? ProxyFixture.get("unread", "") : unread;
     ScriptedEngine engine =
         new ScriptedEngine(
             (event, out) -> {
@@ -114,7 +114,7 @@
               if (event instanceof RequestArrived arrived) {
                 if (requestingClient.get() != null) {
                   started.get().server.listener().closeIdleConnections();
-                  write(requestingClient.getAndSet(null), ProxyFixture.get("crossing", ""));
+                  write(requestingClient.getAndSet(null), ProxyFixture.get("unread", ""));
                 }
                 out.accept(new RejectRequest(arrived.requestId(), 0));
               }
@@ -318,7 +318,7 @@
         (event, out) -> {
           if (event instanceof RequestArrived arrived) {
             if (arrived.workHintNanos() > 0) {
-              write(unread.get(), ProxyFixture.get("crossing", ""));
+              write(unread.get(), ProxyFixture.get("unread", ""));
               try {
                 accepted.complete(started.get().client());
               } catch (IOException e) {
--- a/src/test/java/loadbalancer/proxy/GracefulShutdownTest.java
+++ b/src/test/java/loadbalancer/proxy/GracefulShutdownTest.java
@@ -90,7 +90,7 @@
             (event, actions) -> {
               if (event instanceof RequestArrived request) {
                 if (request.workHintNanos() > 0) {
-                  write(idle.get(), ProxyFixture.get("crossing", ""));
+                  write(idle.get(), ProxyFixture.get("unread", ""));
                   started.get().server.listener().closeIdleConnections();
                 }
                 actions.accept(new RejectRequest(request.requestId(), 0));
@@ -122,7 +122,7 @@
     LISTENER_CLOSES {
       @Override
       Client perform(ProxyFixture proxy, Client open) throws IOException {
-        Client accepted = proxy.client().write(ProxyFixture.get("crossing", ""));
+        Client accepted = proxy.client().write(ProxyFixture.get("unread", ""));
         proxy.server.listener().stopAccepting();
         return accepted;
       }
@@ -131,7 +131,7 @@
     INCOMPLETE_REQUESTS_EXPIRE {
       @Override
       Client perform(ProxyFixture proxy, Client open) throws IOException {
-        open.write(ProxyFixture.get("crossing", ""));
+        open.write(ProxyFixture.get("unread", ""));
         proxy.server.listener().expireIncompleteRequests();
         return open;
       }
--- a/src/test/java/loadbalancer/proxy/RequestDispatcherTest.java
+++ b/src/test/java/loadbalancer/proxy/RequestDispatcherTest.java
@@ -165,13 +165,13 @@
    */
   @Test
   void doesNotForwardARequestThatLayUnreadForItsTime() throws Exception {
-    CountDownLatch held = new CountDownLatch(1);
+    CountDownLatch blocked = new CountDownLatch(1);
     CountDownLatch written = new CountDownLatch(1);
     ScriptedEngine engine =
         new ScriptedEngine(
             (event, actions) -> {
               if (event instanceof RequestArrived request && request.workHintNanos() > 0) {
-                held.countDown();
+                blocked.countDown();
                 blockEventLoop(written);
                 actions.accept(new RejectRequest(request.requestId(), 0));
               } else if (event instanceof RequestArrived request) {
@@ -194,7 +194,7 @@
       String health = client.exchange("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
       assertTrue(health.startsWith("HTTP/1.1 200 "));
       other.write(ProxyFixture.get("holds", "X-Size-Hint: 7\r\n"));
-      held.await();
+      blocked.await();
       client.write(ProxyFixture.get("brief", "X-Expires-In-Ms: 300\r\n"));
       written.countDown();
       assertTrue(client.readResponse().startsWith("HTTP/1.1 50"), "too late");
