--- a/src/main/java/loadbalancer/decision/InFlightRequest.java
+++ b/src/main/java/loadbalancer/decision/InFlightRequest.java
@@ -5,7 +5,7 @@
 import loadbalancer.decision.api.Event;
 import loadbalancer.decision.api.RequestClass;
 
-/** A request, until it has its final answer and each of its attempts has ended. */
+/** A request that has no final answer yet, or that still has attempts in flight. */
 final class InFlightRequest {
 
   final Event.RequestArrived arrival;
@@ -14,17 +14,17 @@
 
   // Set once, by RequestClassifier.
   boolean hasQuota;
-  boolean overQuota;
-  double priority; // what a response in time earns
-  SlidingWindow routeWindow; // of class and tenant, within or over quota
-  SlidingWindow keyWindow; // of the affinity key within that
-  double load; // what it counts for, in mean requests
+  boolean isOverQuota;
+  double priority; // the value of a response in time
+  SlidingWindow routeWindow; // of its class and tenant, within or over quota
+  SlidingWindow keyWindow; // of its affinity key within its route
+  double load; // in mean requests
 
   // Written by RequestLifecycle.
   final List<Attempt> attempts = new ArrayList<>(1);
   int attemptsInFlight;
-  boolean answered;
-  boolean streaming;
+  boolean isAnswered;
+  boolean isStreaming;
 
   InFlightRequest(Event.RequestArrived arrival, RequestClass type, long now) {
     this.arrival = arrival;
@@ -37,13 +37,13 @@
   }
 
   boolean isInFlight(int attempt) {
-    return attempt < attempts.size() && attempts.get(attempt).inFlight;
+    return attempt < attempts.size() && attempts.get(attempt).isInFlight;
   }
 
-  /** Whether an attempt has loaded an endpoint, or may do so yet: a further one is a retry. */
+  /** Returns whether an attempt was or may still be sent: another one uses the retry budget. */
   boolean hasSentAttempt() {
     for (Attempt attempt : attempts) {
-      if (attempt.sent) {
+      if (attempt.mayHaveBeenSent) {
         return true;
       }
     }
--- a/src/main/java/loadbalancer/discovery/DiscoveryClient.java
+++ b/src/main/java/loadbalancer/discovery/DiscoveryClient.java
@@ -8,76 +8,77 @@
 import loadbalancer.decision.api.UpdateKind;
 
 /**
- * The client of discovery: fetches the endpoint list, keeps at most one watch on it, and follows
- * discovery to a new address. It reports every list and every failure; whether and when a failed
- * call is repeated is its owner's decision. All methods run on the event loop.
+ * A discovery client that fetches the endpoint list, keeps at most one watch on it open, and
+ * supports a change of discovery's address. It reports every list and every failure; its owner
+ * decides whether and when to retry a failed call. All methods must be called on the event loop.
  */
 public final class DiscoveryClient implements EndpointSource {
 
-  /** The time for the first list of a watch at the local agent, in ms. */
+  /** The timeout for the first list of a watch at the local agent, in ms. */
   public static final long AGENT_FIRST_LIST_TIMEOUT_MILLIS =
-      DiscoveryTimeouts.AGENT_FIRST_LIST_MILLIS;
+      DiscoveryTimeouts.AGENT_FIRST_LIST_TIMEOUT_MILLIS;
 
   private static final Logger LOG = Logger.getLogger(DiscoveryClient.class.getName());
 
   private final Bootstrap bootstrap;
   private final LongSupplier revision;
   private final BiConsumer<UpdateKind, EndpointList> updates;
-  private final boolean pushed;
-  private final long firstByteMillis;
+  private final boolean isPushed;
+  private final long firstByteTimeoutMillis;
   private final DiscoveryStream.Listener streamListener = new StreamListener();
   private InetSocketAddress address;
 
-  /** The watch that stands; null if none does. */
+  /** The open watch; null if there is none. */
   private DiscoveryStream currentWatch;
 
-  /** Whether a watch is wanted, also while none stands because the last one failed. */
-  private boolean watchWanted;
+  /** True while the owner wants a watch, even if none is open because the last one failed. */
+  private boolean isWatchEnabled;
 
-  /** Whether the last call failed; limits the log to the changes. */
-  private boolean failing;
+  /** True if the last call failed. Only changes of this state are logged. */
+  private boolean isFailing;
 
-  /** Calls in a row that a time limit ended without a list. */
-  private int abandonedCalls;
+  /** The number of consecutive calls that timed out before a list was received. */
+  private int consecutiveTimeouts;
 
   /**
-   * A client that is idle until it is asked to watch or fetch.
+   * Creates a client that makes no call until {@link #watch} or {@link #fetch} is called.
    *
    * @param bootstrap connects to discovery; its group has one event loop
-   * @param pushed whether an agent on this machine pushes the list, rather than a service that is
-   *     polled
-   * @param firstByteMillis the time from a request to the first byte of its response, in ms
-   * @param revision the version of the list that was last accepted
-   * @param updates gets every list, as {@link UpdateKind#FULL} or {@link UpdateKind#DELTA}, and for
-   *     every failed call an empty one as {@link UpdateKind#FAILED}
+   * @param isPushed true if an agent on this machine pushes the list, false if a discovery service
+   *     is polled
+   * @param firstByteTimeoutMillis the maximum time from a request to the first byte of its
+   *     response, in ms
+   * @param revision supplies the revision of the last accepted list
+   * @param updates receives every list as {@link UpdateKind#FULL} or {@link UpdateKind#DELTA}, and
+   *     an empty list as {@link UpdateKind#FAILED} for every failed call
    */
   public DiscoveryClient(
       Bootstrap bootstrap,
       InetSocketAddress address,
-      boolean pushed,
-      long firstByteMillis,
+      boolean isPushed,
+      long firstByteTimeoutMillis,
       LongSupplier revision,
       BiConsumer<UpdateKind, EndpointList> updates) {
     this.bootstrap = bootstrap;
     this.address = address;
-    this.pushed = pushed;
-    this.firstByteMillis = firstByteMillis;
+    this.isPushed = isPushed;
+    this.firstByteTimeoutMillis = firstByteTimeoutMillis;
     this.revision = revision;
     this.updates = updates;
   }
 
-  /** Follows discovery to a new address: ends a watch at the old one and watches at the new one. */
+  /** Changes discovery's address and, if a watch is enabled, reopens it at the new address. */
   public void changeAddress(InetSocketAddress newAddress) {
     if (!newAddress.equals(address)) {
       address = newAddress;
-      abandonedCalls = 0;
-      watch(watchWanted);
+      consecutiveTimeouts = 0;
+      watch(isWatchEnabled);
     }
   }
 
   @Override
   public void watch(boolean enabled) {
-    watchWanted = enabled;
+    isWatchEnabled = enabled;
     if (currentWatch != null) {
       currentWatch.stop();
       currentWatch = null;
@@ -89,16 +90,16 @@
     }
   }
 
-  /** Watches again, if a watch is wanted and none stands. */
+  /** Opens a watch if one is enabled and none is open. */
   public void resumeWatch() {
-    if (watchWanted && currentWatch == null) {
+    if (isWatchEnabled && currentWatch == null) {
       watch(true);
     }
   }
 
-  /** Replaces the watch by another one, if one is wanted. */
+  /** Replaces the watch by a new one if a watch is enabled. */
   public void restartWatch() {
-    if (watchWanted) {
+    if (isWatchEnabled) {
       watch(true);
     }
   }
@@ -110,39 +111,40 @@
 
   private StreamLimits limits() {
     return new StreamLimits(
-        DiscoveryTimeouts.firstListMillis(pushed, abandonedCalls), firstByteMillis);
+        DiscoveryTimeouts.firstListTimeoutMillis(isPushed, consecutiveTimeouts),
+        firstByteTimeoutMillis);
   }
 
-  /** Turns what the streams report into updates, and keeps account of failures. */
+  /** Converts the events of streams into updates and tracks failures. */
   private final class StreamListener implements DiscoveryStream.Listener {
 
     @Override
     public void listReceived(EndpointList list) {
-      if (failing) {
+      if (isFailing) {
         LOG.info("discovery_recovered address=" + address);
-        failing = false;
+        isFailing = false;
       }
-      abandonedCalls = 0;
+      consecutiveTimeouts = 0;
       updates.accept(list.complete() ? UpdateKind.FULL : UpdateKind.DELTA, list);
     }
 
     @Override
     public void failed(DiscoveryStream stream, DiscoveryFailure failure, String detail) {
       if (failure.isTimeout() && !stream.hasReceivedList()) {
-        abandonedCalls++;
+        consecutiveTimeouts++;
       }
       if (currentWatch == stream) {
         currentWatch = null;
       }
-      if (!failing) {
-        LOG.warning("discovery_failed reason=\"" + failure.reason() + "\"" + logDetail(detail));
-        failing = true;
+      if (!isFailing) {
+        LOG.warning("discovery_failed reason=\"" + failure.reason() + "\"" + formatDetail(detail));
+        isFailing = true;
       }
       updates.accept(UpdateKind.FAILED, EndpointList.EMPTY);
     }
 
-    /** One line, in which quotes end nothing before the end. */
-    private String logDetail(String detail) {
+    /** Formats a detail for the log: on a single line, with double quotes replaced. */
+    private String formatDetail(String detail) {
       if (detail == null) {
         return "";
       }
--- a/src/main/java/loadbalancer/discovery/StreamLimits.java
+++ b/src/main/java/loadbalancer/discovery/StreamLimits.java
@@ -3,91 +3,97 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Keeps account of the time limits of one call. TCP alone does not show that the other side is
- * gone; so a call is over when nothing arrives, no first list, or only a part of a list.
+ * Tracks the time limits of one call. TCP does not always report that the peer is gone, so a call
+ * fails if it receives no data, no first list or only a part of a list in time.
  */
 final class StreamLimits {
 
-  private final long firstListMillis;
-  private final long firstByteMillis;
-  private final long openedAtNanos = System.nanoTime();
-  private long receivedAtNanos = openedAtNanos;
+  private final long firstListTimeoutMillis;
+  private final long firstByteTimeoutMillis;
+  private final long openedNanos = System.nanoTime();
+  private long lastReceivedNanos = openedNanos;
   private boolean hasReceivedList;
 
-  /** When the request was sent, while nothing has been received since; 0 else. */
-  private long awaitingSinceNanos;
+  /** The time at which the request was sent; 0 unless its response is awaited. */
+  private long awaitingResponseSinceNanos;
 
   private boolean isWithinList;
 
-  /** When the list began that is incomplete, if {@link #isWithinList}. */
-  private long listBegunAtNanos;
+  /** The time at which the first byte of the incomplete list arrived, if {@link #isWithinList}. */
+  private long listStartedNanos;
 
   /**
-   * Limits that run from now on.
+   * Creates limits that start to run now.
    *
-   * @param firstListMillis the time for the first list, in ms
-   * @param firstByteMillis the time from the request to the first byte of a response, in ms
+   * @param firstListTimeoutMillis the maximum time until the first list, in ms
+   * @param firstByteTimeoutMillis the maximum time from the request to the first byte of the
+   *     response, in ms
    */
-  StreamLimits(long firstListMillis, long firstByteMillis) {
-    this.firstListMillis = firstListMillis;
-    this.firstByteMillis = firstByteMillis;
+  StreamLimits(long firstListTimeoutMillis, long firstByteTimeoutMillis) {
+    this.firstListTimeoutMillis = firstListTimeoutMillis;
+    this.firstByteTimeoutMillis = firstByteTimeoutMillis;
   }
 
-  /** The request was sent. */
+  /** Records that the request was sent. */
   void requestSent() {
-    awaitingSinceNanos = System.nanoTime();
+    awaitingResponseSinceNanos = System.nanoTime();
   }
 
-  /** Something was received, be it an empty line. */
+  /** Records that data was received, which may be just an empty line. */
   void received() {
-    receivedAtNanos = System.nanoTime();
-    awaitingSinceNanos = 0;
+    lastReceivedNanos = System.nanoTime();
+    awaitingResponseSinceNanos = 0;
   }
 
-  /** What was received last left a list incomplete, or it did not. */
-  void setWithinList(boolean within) {
-    if (within && !isWithinList) {
-      listBegunAtNanos = receivedAtNanos;
+  /** Records whether the data received last ends within a list. */
+  void setWithinList(boolean isWithin) {
+    if (isWithin && !isWithinList) {
+      listStartedNanos = lastReceivedNanos;
     }
-    isWithinList = within;
+    isWithinList = isWithin;
   }
 
-  /** A list is complete. What has been received of the next one begins anew. */
+  /** Records that a list is complete, so that the time for the next one starts anew. */
   void listCompleted() {
     isWithinList = false;
   }
 
-  /** A complete list was well-formed. */
+  /** Records that a well-formed list was received. */
   void listAccepted() {
     hasReceivedList = true;
   }
 
-  /** Whether a well-formed list has arrived. */
+  /** Returns whether a well-formed list has been received. */
   boolean hasReceivedList() {
     return hasReceivedList;
   }
 
-  /** The limit that is exceeded; null if none is. */
-  DiscoveryFailure exceeded() {
+  /** Returns the failure for the limit that is exceeded, or null if none is. */
+  DiscoveryFailure exceededLimit() {
     if (isSilent()) {
       return DiscoveryFailure.SILENT;
     }
-    boolean overdue =
-        isWithinList && isOver(listBegunAtNanos, DiscoveryTimeouts.COMPLETE_LIST_MILLIS);
-    return overdue ? DiscoveryFailure.LIST_INCOMPLETE : null;
+    boolean isOverdue =
+        isWithinList
+            && hasElapsed(listStartedNanos, DiscoveryTimeouts.LIST_COMPLETION_TIMEOUT_MILLIS);
+    return isOverdue ? DiscoveryFailure.LIST_INCOMPLETE : null;
   }
 
-  /** Before the first list, empty lines are no sign of life. */
+  /**
+   * Returns whether the time for the first byte, the first list or further data is over. Before the
+   * first list, empty lines do not extend the time.
+   */
   private boolean isSilent() {
-    if (awaitingSinceNanos != 0 && isOver(awaitingSinceNanos, firstByteMillis)) {
+    if (awaitingResponseSinceNanos != 0
+        && hasElapsed(awaitingResponseSinceNanos, firstByteTimeoutMillis)) {
       return true;
     }
     return hasReceivedList
-        ? isOver(receivedAtNanos, DiscoveryTimeouts.SILENCE_MILLIS)
-        : isOver(openedAtNanos, firstListMillis);
+        ? hasElapsed(lastReceivedNanos, DiscoveryTimeouts.SILENCE_TIMEOUT_MILLIS)
+        : hasElapsed(openedNanos, firstListTimeoutMillis);
   }
 
-  private static boolean isOver(long sinceNanos, long limitMillis) {
+  private static boolean hasElapsed(long sinceNanos, long limitMillis) {
     return System.nanoTime() - sinceNanos > TimeUnit.MILLISECONDS.toNanos(limitMillis);
   }
 }
--- a/src/main/java/loadbalancer/proxy/ProxiedRequest.java
+++ b/src/main/java/loadbalancer/proxy/ProxiedRequest.java
@@ -130,7 +130,7 @@
    * shows.
    */
   boolean isClientWaiting() {
-    return !isCompleted && !isClientHalfClosed && downstream.response().isResponseAwaited();
+    return !isCompleted && !isClientHalfClosed && downstream.responseSink().isResponseAwaited();
   }
 
   /** Completes the request without a response; a no-op if it is completed. */
@@ -151,7 +151,7 @@
   void respond(
       HttpResponseStatus status, long retryAfterNanos, CharSequence contentType, ByteBuf content) {
     complete();
-    downstream.response().respond(status, retryAfterNanos, contentType, content);
+    downstream.responseSink().respond(status, retryAfterNanos, contentType, content);
   }
 
   /** Returns whether a successful response to any attempt has arrived or may still arrive. */
--- a/src/main/java/loadbalancer/upstream/ConnectionPool.java
+++ b/src/main/java/loadbalancer/upstream/ConnectionPool.java
@@ -19,38 +19,40 @@
 import loadbalancer.net.DescriptorBudget;
 
 /**
- * Starts calls to upstream endpoints, on idle connections where one may be reused and on new ones
- * otherwise. A connection carries one call at a time, a call completes once, and nothing is sent
- * again. Owns the calls that are connecting; confined to the event loop.
+ * A pool of connections to upstream endpoints. Each call is sent on a reusable idle connection if
+ * there is one, and on a new connection otherwise. A connection carries one call at a time, a call
+ * completes exactly once, and no request is sent twice. The pool owns the calls that are waiting
+ * for a new connection. Confined to the event loop.
  */
 public final class ConnectionPool {
 
-  /** How often connections that have been idle for too long are closed, in milliseconds. */
-  private static final long SWEEP_MILLIS = 250;
+  /** The interval at which connections that exceed the idle timeout are closed. */
+  private static final long SWEEP_INTERVAL_MILLIS = 250;
 
-  /** Wait before a connection is tried again that this machine could not make. */
-  private static final long LOCAL_RETRY_MILLIS = 10;
+  /** The delay before connecting is retried after a failure on this machine. */
+  private static final long LOCAL_RETRY_DELAY_MILLIS = 10;
 
   private final EventLoop loop;
   private final Bootstrap bootstrap;
   private final DescriptorBudget descriptors;
   private final IdleConnections idleConnections;
   private final long connectTimeoutNanos;
-  private final Set<UpstreamCall> connecting = new HashSet<>();
+  private final Set<UpstreamCall> connectingCalls = new HashSet<>();
 
   /**
    * Creates a pool that runs on the bootstrap's event loop.
    *
-   * @param connectTimeoutNanos how long connecting may take
-   * @param upstreamIdleNanos the time after which upstreams close idle connections
-   * @param ready whether the endpoint with an id accepts new requests
+   * @param descriptors the limit on open file descriptors, with which connections are registered
+   * @param connectTimeoutNanos the maximum time to establish a connection
+   * @param upstreamIdleNanos the idle time after which upstreams close connections
+   * @param isReady tests whether the endpoint with an id accepts new requests
    */
   public ConnectionPool(
       Bootstrap bootstrap,
       DescriptorBudget descriptors,
       long connectTimeoutNanos,
       long upstreamIdleNanos,
-      LongPredicate ready) {
+      LongPredicate isReady) {
     this.descriptors = descriptors;
     this.connectTimeoutNanos = connectTimeoutNanos;
     idleConnections = new IdleConnections(upstreamIdleNanos);
@@ -64,27 +66,30 @@
                 new ChannelInitializer<Channel>() {
                   @Override
                   protected void initChannel(Channel channel) {
-                    new UpstreamConnection(channel, idleConnections, ready).addHandlers();
+                    new UpstreamConnection(channel, idleConnections, isReady).addHandlers();
                   }
                 });
     loop.scheduleWithFixedDelay(
-        idleConnections::closeExpired, SWEEP_MILLIS, SWEEP_MILLIS, TimeUnit.MILLISECONDS);
+        idleConnections::closeExpired,
+        SWEEP_INTERVAL_MILLIS,
+        SWEEP_INTERVAL_MILLIS,
+        TimeUnit.MILLISECONDS);
   }
 
   /**
    * Starts a call.
    *
-   * @param request makes the request right before it is written, and not at all if it is not: a
-   *     connection may be established late, and what the request says of the time left must hold
-   *     then
-   * @param timeoutNanos the time in which the call has to complete, connecting included
+   * @param request creates the request immediately before it is written, and is not called if
+   *     nothing is written: connecting takes time, and the remaining time that the request states
+   *     must be correct when it is sent
+   * @param timeoutNanos the maximum time until the call completes, including the time to connect
    */
   public void start(
       UpstreamCall call,
       SocketAddress address,
       Supplier<FullHttpRequest> request,
       long timeoutNanos) {
-    if (!call.isWanted()) {
+    if (!call.shouldBeSent()) {
       call.complete(AttemptStatus.NOT_SENT, null);
       return;
     }
@@ -93,30 +98,30 @@
     if (reused != null) {
       reused.send(call, request.get());
     } else {
-      new Connect(call, address, request).start();
+      new ConnectOperation(call, address, request).start();
     }
   }
 
   /**
-   * The connection of a call that cannot reuse one. While this machine cannot make it, for want of
-   * a descriptor or a port say, it is tried again: nothing has been sent, and the endpoint has not
-   * been asked.
+   * Opens a new connection for a call. Connecting is retried while it fails on this machine, for
+   * example for lack of a file descriptor or a port: the endpoint has not been contacted, so the
+   * failure says nothing about it.
    */
-  private final class Connect {
+  private final class ConnectOperation {
 
     private final UpstreamCall call;
     private final SocketAddress address;
     private final Supplier<FullHttpRequest> request;
     private final long retryUntilNanos = System.nanoTime() + connectTimeoutNanos;
 
-    Connect(UpstreamCall call, SocketAddress address, Supplier<FullHttpRequest> request) {
+    ConnectOperation(UpstreamCall call, SocketAddress address, Supplier<FullHttpRequest> request) {
       this.call = call;
       this.address = address;
       this.request = request;
     }
 
     void start() {
-      connecting.add(call);
+      connectingCalls.add(call);
       open();
     }
 
@@ -127,7 +132,7 @@
       }
       ChannelFuture connect = bootstrap.connect(address);
       if (connect.isDone() && !connect.isSuccess()) {
-        // No socket could be created. Listeners to such a failure run on a thread other than the
+        // No socket could be created. Netty would notify a listener on a thread other than the
         // loop's.
         retryOrGiveUp();
         return;
@@ -135,10 +140,10 @@
       Channel channel = connect.channel();
       call.assignTo(channel);
       descriptors.register(channel);
-      connect.addListener(future -> finished(channel, future.cause()));
+      connect.addListener(future -> connectFinished(channel, future.cause()));
     }
 
-    private void finished(Channel channel, Throwable failure) {
+    private void connectFinished(Channel channel, Throwable failure) {
       if (failure != null) {
         channel.close();
       }
@@ -146,12 +151,12 @@
         retryOrGiveUp();
         return;
       }
-      connecting.remove(call);
+      connectingCalls.remove(call);
       if (call.isDone() || failure != null) {
-        // A call that was withdrawn or timed out while connecting is done and must not be written.
+        // A call that was cancelled or timed out while connecting must not be written.
         call.complete(AttemptStatus.CONNECT_FAILED, null);
         channel.close();
-      } else if (!call.isWanted()) {
+      } else if (!call.shouldBeSent()) {
         call.complete(AttemptStatus.NOT_SENT, null);
         channel.close();
       } else {
@@ -161,18 +166,18 @@
 
     private void retryOrGiveUp() {
       if (System.nanoTime() < retryUntilNanos) {
-        loop.schedule(this::retry, LOCAL_RETRY_MILLIS, TimeUnit.MILLISECONDS);
+        loop.schedule(this::retry, LOCAL_RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
       } else {
-        connecting.remove(call);
+        connectingCalls.remove(call);
         call.complete(AttemptStatus.NOT_SENT, null);
       }
     }
 
     private void retry() {
-      if (!call.isDone() && call.isWanted()) {
+      if (!call.isDone() && call.shouldBeSent()) {
         open();
       } else {
-        connecting.remove(call);
+        connectingCalls.remove(call);
         call.complete(AttemptStatus.NOT_SENT, null);
       }
     }
@@ -184,14 +189,14 @@
   }
 
   /**
-   * Stops using connections to endpoints that are draining or gone: idle ones are closed, and calls
-   * that are still connecting are not sent.
+   * Stops sending new requests to endpoints that are draining or gone: closes their idle
+   * connections and cancels the calls that are still connecting to them.
    *
-   * @param endpoints whether the endpoint with an id is one of them
+   * @param endpoints tests whether the endpoint with an id is one of them
    */
   public void withdraw(LongPredicate endpoints) {
     idleConnections.closeMatching(endpoints);
-    for (UpstreamCall call : List.copyOf(connecting)) {
+    for (UpstreamCall call : List.copyOf(connectingCalls)) {
       if (endpoints.test(call.endpointId())) {
         call.cancel();
       }
@@ -203,7 +208,7 @@
     idleConnections.closeAll(endpointId);
   }
 
-  /** Closes the connection that has been idle longest, and returns false if none is idle. */
+  /** Closes the connection that has been idle longest. Returns false if there is none. */
   public boolean closeLongestIdle() {
     return idleConnections.closeLongestIdle();
   }
--- a/src/main/java/loadbalancer/upstream/UpstreamConnection.java
+++ b/src/main/java/loadbalancer/upstream/UpstreamConnection.java
@@ -18,22 +18,23 @@
 import loadbalancer.decision.api.AttemptStatus;
 
 /**
- * One connection to an endpoint and the call on it: the last handler of the connection's pipeline.
- * Once a call has completed well the connection goes to the idle ones; otherwise it is closed.
+ * One connection to an endpoint and the call on it. This is the last handler of the connection's
+ * pipeline. When a call completes with a usable response and the endpoint is ready, the connection
+ * becomes idle; otherwise it is closed.
  */
 final class UpstreamConnection extends SimpleChannelInboundHandler<FullHttpResponse> {
 
   private static final Logger LOG = Logger.getLogger(UpstreamConnection.class.getName());
 
-  /** More 1xx responses than this ahead of the final one count as endless. */
+  /** The maximum number of 1xx responses before the final response. */
   private static final int MAX_INFORMATIONAL_RESPONSES = 16;
 
-  /** Marks a connection whose call is the first one on it. */
+  /** The value of {@link #idleBeforeCallNanos} for a connection that has not been reused. */
   private static final long NOT_REUSED = -1;
 
   private final Channel channel;
   private final IdleConnections idleConnections;
-  private final LongPredicate ready;
+  private final LongPredicate isReady;
   private final ResponseDecoder decoder = new ResponseDecoder();
   private final ResponseStartCheck startCheck = new ResponseStartCheck(this, decoder);
 
@@ -42,21 +43,21 @@
 
   private long endpointId;
 
-  /** A reading of {@link System#nanoTime()}. */
+  /** The {@link System#nanoTime()} at which the connection became idle. */
   private long idleSinceNanos;
 
-  /** How long the connection had been idle before the call on it, or {@link #NOT_REUSED}. */
+  /** The idle time before the current call, or {@link #NOT_REUSED} if none is to be recorded. */
   private long idleBeforeCallNanos = NOT_REUSED;
 
   private int informationalResponses;
 
-  UpstreamConnection(Channel channel, IdleConnections idleConnections, LongPredicate ready) {
+  UpstreamConnection(Channel channel, IdleConnections idleConnections, LongPredicate isReady) {
     this.channel = channel;
     this.idleConnections = idleConnections;
-    this.ready = ready;
+    this.isReady = isReady;
   }
 
-  /** Fills the pipeline of the connection's channel. */
+  /** Adds the handlers to the pipeline of the channel. */
   void addHandlers() {
     channel
         .pipeline()
@@ -73,7 +74,7 @@
     return endpointId;
   }
 
-  /** Returns how long the connection has been idle at a reading of {@link System#nanoTime()}. */
+  /** Returns the idle time of the connection at a {@link System#nanoTime()} reading. */
   long idleNanos(long nowNanos) {
     return nowNanos - idleSinceNanos;
   }
@@ -87,14 +88,14 @@
   }
 
   /**
-   * Returns whether the kernel holds neither bytes nor the end of the stream for this connection.
-   * If it does, the connection must be closed.
+   * Returns whether neither bytes nor the end of the stream are waiting to be read. If this returns
+   * false, the connection must be closed.
    */
   boolean hasNothingUnread() {
     return !(channel instanceof UpstreamChannel socket) || socket.hasNothingUnread();
   }
 
-  /** Marks that the connection carries another call after an idle time. */
+  /** Marks the connection as reused after an idle time. */
   void markReused(long idleNanos) {
     idleBeforeCallNanos = idleNanos;
   }
@@ -103,31 +104,31 @@
     channel.close();
   }
 
-  /** Writes a call's request. Takes over the request. */
-  void send(UpstreamCall next, FullHttpRequest request) {
-    call = next;
-    endpointId = next.endpointId();
-    next.assignTo(channel);
+  /** Writes the request of a call and takes ownership of the request. */
+  void send(UpstreamCall nextCall, FullHttpRequest request) {
+    call = nextCall;
+    endpointId = nextCall.endpointId();
+    nextCall.assignTo(channel);
     channel
         .writeAndFlush(request)
         .addListener(
             future -> {
               if (future.isSuccess()) {
-                next.markWritten();
+                nextCall.markWritten();
               } else {
                 channel.close();
-                next.complete(AttemptStatus.CONNECT_FAILED, null);
+                nextCall.complete(AttemptStatus.CONNECT_FAILED, null);
               }
             });
   }
 
-  /** Closes a connection on which bytes have come that are no part of a response to its call. */
+  /** Closes the connection after bytes arrived that do not belong to a response to its call. */
   void rejectUnexpectedBytes() {
     idleConnections.recordUnexpectedBytes(this);
     abort();
   }
 
-  /** Closes the connection without a usable response; the call on it, if any, may have run. */
+  /** Closes the connection and completes its call, if any, as reset; the request may have run. */
   void abort() {
     UpstreamCall aborted = call;
     call = null;
@@ -165,14 +166,14 @@
     informationalResponses = 0;
     AttemptStatus status = ResponseClassifier.classify(response);
     if (status == AttemptStatus.SUCCESS && !completed.isWritten()) {
-      // A response that came before the whole request was written answers another request.
+      // A response that arrives before the whole request is written belongs to another request.
       status = AttemptStatus.RESET;
     }
     if (status != AttemptStatus.RESET
         && completed.isWritten()
         && !completed.isDone()
         && HttpUtil.isKeepAlive(response)
-        && ready.test(endpointId)) {
+        && isReady.test(endpointId)) {
       idleSinceNanos = System.nanoTime();
       idleConnections.add(this);
     } else {
@@ -203,9 +204,9 @@
 
   @Override
   public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-    boolean expected = cause instanceof IOException || cause instanceof CodecException;
+    boolean isExpected = cause instanceof IOException || cause instanceof CodecException;
     LOG.log(
-        expected ? Level.FINE : Level.WARNING,
+        isExpected ? Level.FINE : Level.WARNING,
         "upstream_connection_failed address=" + channel.remoteAddress(),
         cause);
     context.close();
--- a/src/test/java/loadbalancer/ArchitectureTest.java
+++ b/src/test/java/loadbalancer/ArchitectureTest.java
@@ -25,15 +25,18 @@
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 
-/** The rules between packages: decisions are pure, what is below knows nothing of what is above. */
+/**
+ * Checks the rules between packages: decisions have no side effects, and lower packages do not
+ * depend on higher ones.
+ */
 @AnalyzeClasses(packages = "loadbalancer", importOptions = ImportOption.DoNotIncludeTests.class)
 class ArchitectureTest {
 
   private static final Path SOURCES = Path.of("src/main/java");
 
   /**
-   * Every package right below the root; a new one has to be named here and so comes under the
-   * rules.
+   * Every package directly below the root. A new one has to be listed here, so that the rules are
+   * extended to it.
    */
   private static final Set<String> TOP_PACKAGES =
       Set.of(
@@ -51,10 +54,11 @@
           "upstream");
 
   /**
-   * No I/O, no clock, no threads, no logging, no libraries: only these, and no part of them below.
+   * Decisions use no I/O, clocks, threads, logging or libraries: only these packages, without the
+   * classes that the next rule excludes.
    */
   @ArchTest
-  final ArchRule decisionsDependOnNothingButThemselves =
+  final ArchRule decisionsDependOnlyOnThemselves =
       classes()
           .that()
           .resideInAPackage("loadbalancer.decision..")
@@ -67,9 +71,12 @@
               "java.util.function",
               "java.util.stream");
 
-  /** What java.lang and java.util hold of clocks, environment, processes, threads and input. */
+  /**
+   * Excludes the classes of java.lang and java.util that give access to clocks, the environment,
+   * processes, threads and input.
+   */
   @ArchTest
-  final ArchRule decisionsReachNoClockNoEnvironmentAndNoThread =
+  final ArchRule decisionsUseNoClocksEnvironmentOrThreads =
       noClasses()
           .that()
           .resideInAPackage("loadbalancer.decision..")
@@ -82,9 +89,9 @@
                   + "|java\\.util\\.(Calendar|Currency|Date|GregorianCalendar|Locale|Properties"
                   + "|ResourceBundle|Scanner|ServiceLoader|Timer|TimerTask|TimeZone|UUID)(\\$.*)?");
 
-  /** The only chance in a decision is the seed that it was handed. */
+  /** The only source of randomness in decisions is the seed that they are given. */
   @ArchTest
-  final ArchRule decisionsTakeChanceFromTheirSeedAlone =
+  final ArchRule decisionsUseNoRandomnessButTheirSeed =
       noClasses()
           .that()
           .resideInAPackage("loadbalancer.decision..")
@@ -98,7 +105,7 @@
           .callConstructor(SplittableRandom.class);
 
   @ArchTest
-  final ArchRule theInterfaceOfDecisionsKnowsNothingBehindIt =
+  final ArchRule decisionApiDependsOnlyOnItself =
       classes()
           .that()
           .resideInAPackage("loadbalancer.decision.api..")
@@ -110,7 +117,7 @@
   final ArchRule topPackagesAreFreeOfCycles =
       slices().matching("loadbalancer.(*)..").should().beFreeOfCycles();
 
-  /** What each package may use besides itself, the interface of decisions, http, json and net. */
+  /** The packages that each package may use besides itself and {@link #COMMON}. */
   private static final Map<String, Set<String>> ALLOWED =
       Map.of(
           "config", Set.of("discovery"),
@@ -125,10 +132,10 @@
   private static final Set<String> COMMON = Set.of("decision.api", "http", "json", "net");
 
   @ArchTest
-  void packagesUseOnlyWhatTheyMay(JavaClasses classes) {
+  void packagesUseOnlyAllowedPackages(JavaClasses classes) {
     ALLOWED.forEach(
         (name, allowed) -> {
-          DescribedPredicate<JavaClass> own =
+          DescribedPredicate<JavaClass> allowedPackages =
               resideInAnyPackage(
                   Stream.of(Stream.of(name), allowed.stream(), COMMON.stream())
                       .flatMap(packages -> packages)
@@ -138,12 +145,12 @@
               .that()
               .resideInAPackage("loadbalancer." + name + "..")
               .should()
-              .dependOnClassesThat(resideInAPackage("loadbalancer..").and(not(own)))
+              .dependOnClassesThat(resideInAPackage("loadbalancer..").and(not(allowedPackages)))
               .check(classes);
         });
   }
 
-  /** What of the JDK is not for all to use: the signals of the entry point alone. */
+  /** Only the entry point uses internals of the JDK, to handle signals. */
   @ArchTest
   final ArchRule onlyTheEntryPointUsesInternalsOfTheJdk =
       noClasses()
@@ -154,7 +161,7 @@
           .resideInAnyPackage("sun..", "com.sun..", "jdk..");
 
   @ArchTest
-  final ArchRule nothingDependsOnTheRoot =
+  final ArchRule noPackageDependsOnTheRoot =
       noClasses()
           .that()
           .resideInAPackage("loadbalancer.*..")
@@ -163,7 +170,7 @@
           .resideInAPackage("loadbalancer");
 
   @ArchTest
-  final ArchRule onlyTheRootKnowsTheSimulator =
+  final ArchRule onlyTheRootDependsOnTheSimulator =
       noClasses()
           .that()
           .resideInAPackage("loadbalancer.*..")
@@ -174,7 +181,7 @@
           .resideInAPackage("loadbalancer.simulator..");
 
   @ArchTest
-  final ArchRule theProgramKnowsNoTestsAndNoTools =
+  final ArchRule mainCodeDependsOnNoTestOrBuildTools =
       noClasses()
           .should()
           .dependOnClassesThat()
@@ -188,7 +195,7 @@
               "com.diffplug..");
 
   @ArchTest
-  void topPackagesAreThoseNamedHere(JavaClasses classes) {
+  void topPackagesAreThoseListed(JavaClasses classes) {
     Set<String> found =
         classes.stream()
             .map(JavaClass::getPackageName)
@@ -199,7 +206,7 @@
   }
 
   @ArchTest
-  void everyPackageSaysWhatItIs(JavaClasses classes) {
+  void everyPackageHasAPackageInfo(JavaClasses classes) {
     for (String name :
         classes.stream().map(JavaClass::getPackageName).collect(Collectors.toSet())) {
       Path file = SOURCES.resolve(name.replace('.', '/')).resolve("package-info.java");
--- a/src/test/java/loadbalancer/decision/AdaptiveRateLimiterTest.java
+++ b/src/test/java/loadbalancer/decision/AdaptiveRateLimiterTest.java
@@ -1,7 +1,7 @@
 package loadbalancer.decision;
 
 import static loadbalancer.decision.EngineDriver.MS;
-import static loadbalancer.decision.EngineDriver.idempotentOnly;
+import static loadbalancer.decision.EngineDriver.idempotentSettings;
 import static loadbalancer.decision.EngineDriver.requestClass;
 import static loadbalancer.decision.EngineDriver.settings;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -19,16 +19,16 @@
 import loadbalancer.decision.api.Tenant;
 import org.junit.jupiter.api.Test;
 
-/** The line from mean latency to allowed rate, what it is fed with, and its exceptions. */
+/** Tests the allowed rate by mean latency, the latencies that count, and the exceptions. */
 class AdaptiveRateLimiterTest {
 
-  private static double published(double meanMs) {
+  private static double allowedRate(double meanMs) {
     return AdaptiveRateLimiter.allowedRate(meanMs, 300, 18_000, 240, 4);
   }
 
   /**
-   * Sends requests with a fixed number in flight, each response after the latency; the share
-   * rejected.
+   * Sends requests at the rate that keeps the given number in flight, ends every attempt after the
+   * latency, and returns the fraction of requests that were rejected.
    */
   private static double rejectedShare(
       EngineDriver driver, int requests, int inFlight, long latency, AttemptStatus status) {
@@ -45,23 +45,23 @@
     driver.rejections.clear();
     for (int i = 0; i < requests; i++) {
       driver.request(driver.nextRequestId(), "c", tenant, "k" + i % 50, 0);
-      driver.completeFor(latency / inFlight, status, latency);
+      driver.advanceEndingAttempts(latency / inFlight, status, latency);
     }
     return driver.rejections.getOrDefault("r", 0) / (double) requests;
   }
 
   @Test
   void allowedRateMatchesThePublishedFigures() {
-    assertEquals(240, published(0));
-    assertEquals(240, published(300));
-    assertEquals(177.3, published(5000), 0.1);
-    assertEquals(122, published(9150), 0.001);
-    assertEquals(4, published(18_000));
-    assertEquals(4, published(99_000));
+    assertEquals(240, allowedRate(0));
+    assertEquals(240, allowedRate(300));
+    assertEquals(177.3, allowedRate(5000), 0.1);
+    assertEquals(122, allowedRate(9150), 0.001);
+    assertEquals(4, allowedRate(18_000));
+    assertEquals(4, allowedRate(99_000));
   }
 
   private static EngineDriver fiveEndpoints() {
-    return new EngineDriver(idempotentOnly()).withEndpoints(5);
+    return new EngineDriver(idempotentSettings()).withEndpoints(5);
   }
 
   @Test
@@ -76,7 +76,7 @@
     assertTrue(rejectedShare(driver, 600, 30, 700 * MS, AttemptStatus.SUCCESS) > 0.2);
   }
 
-  /** A retry past the latency objective earns nothing and crowds out others. */
+  /** A client's retry after the latency objective is worthless and displaces other requests. */
   @Test
   void retryAfterIsSpreadOverATenthOfTheLatencyObjective() {
     EngineDriver driver = fiveEndpoints();
@@ -84,38 +84,45 @@
     List<Long> waits = new ArrayList<>();
     for (int i = 0; i < 600; i++) {
       for (Action action : driver.request(driver.nextRequestId(), "c", "k" + i % 50)) {
-        if (action instanceof RejectRequest refuse) {
-          waits.add(refuse.retryAfterNanos());
+        if (action instanceof RejectRequest rejection) {
+          waits.add(rejection.retryAfterNanos());
         }
       }
-      driver.completeFor(700 / 30 * MS, AttemptStatus.SUCCESS, 700 * MS);
+      driver.advanceEndingAttempts(700 / 30 * MS, AttemptStatus.SUCCESS, 700 * MS);
     }
     assertTrue(waits.size() > 50, "rejected: " + waits.size());
-    waits.forEach(wait -> assertTrue(wait <= 40 * MS, "of an objective of 400 ms: " + wait));
+    waits.forEach(
+        wait ->
+            assertTrue(wait <= 40 * MS, "advised wait in ns, for an objective of 400 ms: " + wait));
     assertTrue(
-        waits.stream().distinct().count() > waits.size() / 2, "spread, or all come back at once");
+        waits.stream().distinct().count() > waits.size() / 2,
+        "not spread, so all clients come back at once");
   }
 
-  /** Such clients had healthy endpoints ejected, and the requests of all others rejected. */
+  /**
+   * Clients with short deadlines must not cause the ejection of healthy endpoints, nor the
+   * rejection of other requests.
+   */
   @Test
   void timeOutsBeforeTheLatencyObjectiveCountAgainstNoEndpoint() {
     EngineDriver driver = fiveEndpoints();
-    EngineDriver.InFlightAttempt impatient = null;
+    EngineDriver.InFlightAttempt timedOut = null;
     for (int i = 0; i < 500; i++) {
       driver.serve("k" + i % 50, 40 * MS);
       driver.handle(
           new RequestArrived("h" + i, "c", null, "k" + i % 50, driver.now + 150 * MS, 0, false));
       driver.advance(150 * MS);
       for (EngineDriver.InFlightAttempt attempt : List.copyOf(driver.inFlight)) {
-        impatient = attempt;
+        timedOut = attempt;
         driver.endAttempt(attempt, AttemptStatus.TIMEOUT, 150 * MS);
       }
     }
-    assertNotNull(impatient, "no attempt was started");
-    assertEquals(0, driver.rejections.getOrDefault("r", 0), "of those that wait");
+    assertNotNull(timedOut, "no attempt was started");
+    assertEquals(
+        0, driver.rejections.getOrDefault("r", 0), "rejections of those with the usual deadline");
   }
 
-  /** A slow dependency is no overload of this instance's making. */
+  /** A slow dependency raises latencies without an overload that this instance could relieve. */
   @Test
   void admitsRequestsWithinAQuotaWhileNoMoreThanUsualIsInFlight() {
     EngineDriver driver =
@@ -129,7 +136,10 @@
     assertEquals(0, rejectedShare(driver, "t", 300, 4, 390 * MS, AttemptStatus.SUCCESS), 0.02);
   }
 
-  /** A mean that began at 0 took half of the usual load for all of it, and rejected requests. */
+  /**
+   * Guards against a mean load that starts at 0: after a start it would be half the real load, and
+   * requests within a quota would be rejected.
+   */
   @Test
   void learnsTheUsualLoadSoonAfterAStart() {
     EngineDriver driver =
@@ -143,7 +153,9 @@
     assertEquals(0, rejectedShare(driver, "t", 300, 15, 390 * MS, AttemptStatus.SUCCESS));
   }
 
-  /** An overload from the first second on leaves no usual load to compare with. */
+  /**
+   * If the fleet is overloaded from the start, it has no load of a healthy time to compare with.
+   */
   @Test
   void rejectsWithinAQuotaWhereTheFleetWasNeverHealthy() {
     EngineDriver driver =
@@ -156,7 +168,7 @@
     assertTrue(rejectedShare(driver, "t", 300, 10, 390 * MS, AttemptStatus.SUCCESS) > 0.2);
   }
 
-  /** A fleet that collapsed would get no relief otherwise. */
+  /** Otherwise a fleet that collapsed would get no relief. */
   @Test
   void rejectsWithoutQuotasThoughFewAreInFlight() {
     EngineDriver driver = fiveEndpoints();
@@ -164,7 +176,7 @@
     assertTrue(rejectedShare(driver, 300, 4, 390 * MS, AttemptStatus.SUCCESS) > 0.2);
   }
 
-  /** Their latencies would pull the mean down. */
+  /** The low latencies of quick failures must not lower the mean latency. */
   @Test
   void quickFailuresDoNotKeepTheRateAtItsMaximum() {
     EngineDriver driver = fiveEndpoints();
@@ -172,16 +184,16 @@
     assertTrue(rejected > 0.3, "rejected " + rejected);
   }
 
-  /** One attempt in eight that is reset at once is no overload: others can do the work. */
+  /** If one attempt in eight is reset at once, other endpoints can still serve the requests. */
   @Test
   void resetsDoNotCountAsTheWholeDeadline() {
-    EngineDriver driver = new EngineDriver(idempotentOnly()).withEndpoints(6);
+    EngineDriver driver = new EngineDriver(idempotentSettings()).withEndpoints(6);
     for (int i = 0; i < 1000; i++) {
       driver.request(driver.nextRequestId(), "c", "k" + i % 20);
       if (i % 8 == 0 && !driver.inFlight.isEmpty()) {
         driver.endAttempt(driver.inFlight.get(driver.inFlight.size() - 1), AttemptStatus.RESET, MS);
       }
-      driver.completeFor(10 * MS, AttemptStatus.SUCCESS, 10 * MS);
+      driver.advanceEndingAttempts(10 * MS, AttemptStatus.SUCCESS, 10 * MS);
     }
     int rejected = driver.rejections.values().stream().mapToInt(n -> n).sum();
     assertTrue(rejected < 50, "rejected: " + rejected);
--- a/src/test/java/loadbalancer/decision/EngineDriver.java
+++ b/src/test/java/loadbalancer/decision/EngineDriver.java
@@ -28,21 +28,22 @@
 import loadbalancer.decision.api.UpdateKind;
 import loadbalancer.decision.api.WeightKind;
 
-/** Drives one engine by hand: its clock, its timers, and the attempts that it has in flight. */
+/** Drives one engine step by step: its clock, its timers, and its attempts in flight. */
 final class EngineDriver {
 
+  /** A millisecond in nanoseconds. */
   static final long MS = 1_000_000L;
 
   final LoadBalancingEngine engine;
   final List<SetTimer> timers = new ArrayList<>();
   final List<InFlightAttempt> inFlight = new ArrayList<>();
 
-  /** Rejections by the first letter of the request id. */
+  /** The number of rejections by the first letter of the request id. */
   final Map<String, Integer> rejections = new HashMap<>();
 
   long now = 1_000_000_000_000L;
   private final Map<String, Integer> attempts = new HashMap<>();
-  private int ids;
+  private int requestCount;
 
   /** An attempt that has not ended yet. */
   record InFlightAttempt(String requestId, int attempt, long endpointId, long startedAt) {}
@@ -55,13 +56,13 @@
     engine = new LoadBalancingEngine(settings, seed);
   }
 
-  /** A class with a latency objective of 400 ms and a deadline and dedup window of 2 s. */
+  /** Returns a class with a latency objective of 400 ms and a deadline and dedup window of 2 s. */
   static RequestClass requestClass(String name, Idempotence idempotence, DedupScope scope) {
     return new RequestClass(
         name, idempotence, scope, 2000 * MS, 400 * MS, 0, 2000 * MS, 1, 0, false);
   }
 
-  static Settings settings(boolean polled, List<Tenant> tenants, RequestClass... classes) {
+  static Settings settings(boolean isPolled, List<Tenant> tenants, RequestClass... classes) {
     return new Settings(
         0,
         1,
@@ -70,17 +71,17 @@
         tenants,
         new Limits(true, false, false, true, true, 1000 * MS, 4, 10_000, 1, 200 * MS),
         new ServiceContract(
-            8 * MS, polled ? 10_000 * MS : 0, 250 * MS, 0.3, 8000 * MS, 3, 3000 * MS),
+            8 * MS, isPolled ? 10_000 * MS : 0, 250 * MS, 0.3, 8000 * MS, 3, 3000 * MS),
         new Prices(0, 0, 0),
-        polled,
+        isPolled,
         WeightKind.NONE,
         0.2,
         true,
         MS);
   }
 
-  /** Settings with the one class "c" of idempotent requests, and no tenants. */
-  static Settings idempotentOnly() {
+  /** Returns settings with one class, "c", of idempotent requests, and no tenants. */
+  static Settings idempotentSettings() {
     return settings(false, List.of(), requestClass("c", Idempotence.IDEMPOTENT, DedupScope.ALL));
   }
 
@@ -109,7 +110,7 @@
     return handle(new EndpointListUpdate(kind, List.of(entries)));
   }
 
-  /** Begins with so many ready endpoints, whose ids count up from 100. */
+  /** Starts with the given number of ready endpoints, whose ids count up from 100. */
   EngineDriver withEndpoints(int count) {
     Endpoint[] entries = new Endpoint[count];
     for (int i = 0; i < count; i++) {
@@ -120,7 +121,7 @@
   }
 
   String nextRequestId() {
-    return "r" + ids++;
+    return "r" + requestCount++;
   }
 
   List<Action> request(String id, String className, String key) {
@@ -154,8 +155,8 @@
             Map.of()));
   }
 
-  /** Lets time pass with endpoints that end every attempt after a latency. */
-  void completeFor(long nanos, AttemptStatus status, long latencyNanos) {
+  /** Advances the clock and ends every attempt once it has taken the latency. */
+  void advanceEndingAttempts(long nanos, AttemptStatus status, long latencyNanos) {
     for (long end = now + nanos; now < end; ) {
       advance(Math.min(5 * MS, end - now));
       for (InFlightAttempt attempt : List.copyOf(inFlight)) {
@@ -166,7 +167,7 @@
     }
   }
 
-  /** Serves one request after a latency; the endpoint that served it, or -1 where none did. */
+  /** Sends a request, ends its attempt after a latency, and returns its endpoint, or -1 if none. */
   long serve(String key, long latencyNanos) {
     String id = nextRequestId();
     long endpoint = attemptedEndpoint(request(id, "c", key));
@@ -177,7 +178,7 @@
     return endpoint;
   }
 
-  /** Lets time pass, firing the timers that come due; the actions of all of them. */
+  /** Advances the clock, fires the timers that expire, and returns the resulting actions. */
   List<Action> advance(long nanos) {
     List<Action> actions = new ArrayList<>();
     long end = now + nanos;
@@ -194,7 +195,7 @@
     return actions;
   }
 
-  /** The endpoint of the first attempt among some actions, or -1 where there is none. */
+  /** Returns the endpoint of the first attempt that the actions start, or -1 if there is none. */
   static long attemptedEndpoint(List<Action> actions) {
     return actions.stream()
         .filter(action -> action instanceof StartAttempt)
--- a/src/test/java/loadbalancer/decision/SlowStartFleetTest.java
+++ b/src/test/java/loadbalancer/decision/SlowStartFleetTest.java
@@ -35,32 +35,38 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What all instances together send to a warming endpoint, though none sees what the others do. */
+/**
+ * Tests how many attempts all instances together send to a warming endpoint, although no instance
+ * sees the attempts of the others.
+ */
 class SlowStartFleetTest {
 
+  /** A millisecond in nanoseconds. */
   private static final long MS = 1_000_000L;
+
   private static final long SECOND = 1000 * MS;
-  private static final long WINDOW = 2 * SECOND;
+  private static final long OVERLOAD_WINDOW = 2 * SECOND;
   private static final long SLOW_START = 22 * SECOND;
-  private static final double MULTIPLE = 2.5;
+  private static final double OVERLOAD_MULTIPLE = 2.5;
   private static final double INITIAL_CAPACITY = 0.14;
   private static final int ENDPOINTS = 40;
 
-  /** Offered traffic in parts of the quotas, and that of a surge. */
-  private static final double ASKED = 0.8;
+  /** Offered traffic as a fraction of the quotas. */
+  private static final double OFFERED_FRACTION = 0.8;
 
-  private static final double SURGE = 1.3;
+  /** Offered traffic of a surge as a fraction of the quotas. */
+  private static final double SURGE_FRACTION = 1.3;
 
   /**
-   * Attempts at a warming endpoint in parts of those at another, at least; its mean capacity is
-   * 0.57.
+   * Least attempts at a warming endpoint as a fraction of those at a warm one. Its mean capacity
+   * during slow start is the fraction 0.57.
    */
-  private static final double LEAST_USED = 0.05;
+  private static final double MIN_USED_FRACTION = 0.05;
 
   private static final long LATENCY = 60 * MS;
   private static final long START = 1_000 * SECOND;
 
-  private static Settings settings(int me, int instances, double quota) {
+  private static Settings settings(int instanceIndex, int instances, double quota) {
     RequestClass type =
         new RequestClass(
             "c",
@@ -74,13 +80,14 @@
             0,
             false);
     return new Settings(
-        me,
+        instanceIndex,
         instances,
         "a",
         List.of(type),
         List.of(new Tenant("t", 1, quota * ENDPOINTS)),
         new Limits(true, false, false, true, true, SECOND, 4, 10_000, 1, 200 * MS),
-        new ServiceContract(20 * MS, 0, 500 * MS, INITIAL_CAPACITY, SLOW_START, MULTIPLE, WINDOW),
+        new ServiceContract(
+            20 * MS, 0, 500 * MS, INITIAL_CAPACITY, SLOW_START, OVERLOAD_MULTIPLE, OVERLOAD_WINDOW),
         new Prices(0, 0, 0),
         false,
         WeightKind.NONE,
@@ -90,35 +97,36 @@
   }
 
   /**
-   * A fleet in one clock; requests come to the instances unevenly, and every attempt is served
-   * after a while.
+   * A fleet of instances and endpoints with one clock. The instances get different shares of the
+   * requests, and every attempt succeeds after {@link #LATENCY}.
    */
   private static final class Fleet {
 
-    private record Due(long at, long order, LongConsumer what) {}
+    private record ScheduledTask(long at, long order, LongConsumer task) {}
 
     final int instances;
 
-    /** Requests a second that the quotas name for one endpoint. */
+    /** The total of the quotas for one endpoint, in requests a second. */
     final double quota;
 
     final SplittableRandom random;
     final LoadBalancingEngine[] engines;
     final int[] incarnations;
     final double[] shares;
-    final PriorityQueue<Due> queue =
-        new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::order));
-    final List<Endpoint> list = new ArrayList<>();
+    final PriorityQueue<ScheduledTask> queue =
+        new PriorityQueue<>(
+            Comparator.comparingLong(ScheduledTask::at).thenComparingLong(ScheduledTask::order));
+    final List<Endpoint> endpointList = new ArrayList<>();
     final Map<Long, List<Long>> attempts = new HashMap<>();
     long now = START;
     long order;
-    int ids;
-    double asked;
+    int requestCount;
+    double offeredFraction;
 
-    Fleet(int instances, double quota, double asked, long seed) {
+    Fleet(int instances, double quota, double offeredFraction, long seed) {
       this.instances = instances;
       this.quota = quota;
-      this.asked = asked;
+      this.offeredFraction = offeredFraction;
       random = new SplittableRandom(seed);
       engines = new LoadBalancingEngine[instances];
       incarnations = new int[instances];
@@ -132,24 +140,24 @@
         shares[b] /= sum;
       }
       for (int e = 0; e < ENDPOINTS; e++) {
-        list.add(new Endpoint(100 + e, "a", 0, EndpointState.READY, 0, 1));
+        endpointList.add(new Endpoint(100 + e, "a", 0, EndpointState.READY, 0, 1));
       }
       for (int b = 0; b < instances; b++) {
-        restart(b);
+        restartInstance(b);
       }
-      at(now, this::arrive);
+      schedule(now, this::sendRequest);
     }
 
-    void at(long when, LongConsumer what) {
-      queue.add(new Due(when, order++, what));
+    void schedule(long when, LongConsumer task) {
+      queue.add(new ScheduledTask(when, order++, task));
     }
 
-    /** Forgets all that it knew and begins with the list. */
-    void restart(int instance) {
+    /** Replaces an instance's engine by a new one, which knows only the endpoint list. */
+    void restartInstance(int instance) {
       incarnations[instance]++;
       engines[instance] =
           new LoadBalancingEngine(settings(instance, instances, quota), random.nextLong());
-      handle(instance, new EndpointListUpdate(UpdateKind.CACHED, List.copyOf(list)));
+      handle(instance, new EndpointListUpdate(UpdateKind.CACHED, List.copyOf(endpointList)));
     }
 
     void handle(int instance, Event event) {
@@ -158,7 +166,7 @@
       int incarnation = incarnations[instance];
       for (Action action : actions) {
         if (action instanceof SetTimer timer) {
-          at(
+          schedule(
               Math.max(now, timer.atNanos()),
               when -> {
                 if (incarnations[instance] == incarnation) {
@@ -168,7 +176,7 @@
         } else if (action instanceof StartAttempt start) {
           attempts.computeIfAbsent(start.endpointId(), u -> new ArrayList<>()).add(now);
           long startedAt = now;
-          at(
+          schedule(
               now + LATENCY,
               when -> {
                 if (incarnations[instance] == incarnation) {
@@ -188,41 +196,50 @@
       }
     }
 
-    void arrive(long when) {
+    void sendRequest(long when) {
       double point = random.nextDouble();
       int instance = 0;
       while (instance < instances - 1 && point > shares[instance]) {
         point -= shares[instance++];
       }
-      // Few keys have much of the traffic.
+      // A few keys get much of the traffic.
       String key = "k" + (int) Math.pow(1000, random.nextDouble());
-      handle(instance, new RequestArrived("r" + ids++, "c", "t", key, now + 2 * SECOND, 0, false));
-      at(
-          now + (long) (-Math.log(1 - random.nextDouble()) * SECOND / (quota * ENDPOINTS * asked)),
-          this::arrive);
+      handle(
+          instance,
+          new RequestArrived("r" + requestCount++, "c", "t", key, now + 2 * SECOND, 0, false));
+      schedule(
+          now
+              + (long)
+                  (-Math.log(1 - random.nextDouble())
+                      * SECOND
+                      / (quota * ENDPOINTS * offeredFraction)),
+          this::sendRequest);
     }
 
-    void run(long nanos) {
+    void runFor(long nanos) {
       long end = now + nanos;
       while (queue.peek().at() <= end) {
-        Due due = queue.poll();
+        ScheduledTask due = queue.poll();
         now = due.at();
-        due.what().accept(now);
+        due.task().accept(now);
       }
       now = end;
     }
 
-    /** Restarts the first endpoints, and notifies all instances. */
-    void start(int warming) {
+    /** Restarts the first endpoints of the list and notifies all instances. */
+    void restartEndpoints(int warming) {
       for (int e = 0; e < warming; e++) {
-        list.set(e, new Endpoint(100 + e, "a", 0, EndpointState.READY, now, 1));
+        endpointList.set(e, new Endpoint(100 + e, "a", 0, EndpointState.READY, now, 1));
       }
       for (int b = 0; b < instances; b++) {
-        handle(b, new EndpointListUpdate(UpdateKind.FULL, List.copyOf(list)));
+        handle(b, new EndpointListUpdate(UpdateKind.FULL, List.copyOf(endpointList)));
       }
     }
 
-    /** By how much the attempts in any window exceed the budget and what is put down to chance. */
+    /**
+     * Returns by how many the attempts in the worst window exceed the budget plus a margin for
+     * random variation.
+     */
     double excess(int endpoint, long startedAt) {
       List<Long> times =
           attempts.getOrDefault(100L + endpoint, List.of()).stream()
@@ -230,43 +247,50 @@
               .toList();
       double worst = Double.NEGATIVE_INFINITY;
       for (int i = 0, j = 0; i < times.size(); i++) {
-        while (j < times.size() && times.get(j) < times.get(i) + WINDOW) {
+        while (j < times.size() && times.get(j) < times.get(i) + OVERLOAD_WINDOW) {
           j++;
         }
-        double part = Math.min(1, (times.get(i) - startedAt) / (double) SLOW_START);
-        // The quotas stand for what an endpoint can do that is not warming.
+        double progress = Math.min(1, (times.get(i) - startedAt) / (double) SLOW_START);
+        // The quota stands for the capacity of a warm endpoint.
         double budget =
-            MULTIPLE * (INITIAL_CAPACITY + (1 - INITIAL_CAPACITY) * part) * quota * WINDOW / SECOND;
+            OVERLOAD_MULTIPLE
+                * (INITIAL_CAPACITY + (1 - INITIAL_CAPACITY) * progress)
+                * quota
+                * OVERLOAD_WINDOW
+                / SECOND;
         worst = Math.max(worst, j - i - (budget + 2 * Math.sqrt(budget) + 2));
       }
       return worst;
     }
   }
 
-  private static Fleet afterWarmUp(int instances, double quota, double asked, long seed) {
-    Fleet fleet = new Fleet(instances, quota, asked, seed);
-    fleet.run(15 * SECOND);
+  private static Fleet afterWarmUp(int instances, double quota, double offeredFraction, long seed) {
+    Fleet fleet = new Fleet(instances, quota, offeredFraction, seed);
+    fleet.runFor(15 * SECOND);
     return fleet;
   }
 
   /**
-   * What endpoints from the first on were sent stays within their budgets, and they were served
-   * from at all.
+   * Asserts that the attempts at each warming endpoint stay within its budget, and that the warming
+   * endpoints get some.
    */
-  private static void assertWithin(Fleet fleet, int warming, long startedAt, String what) {
+  private static void assertWithin(Fleet fleet, int warming, long startedAt, String description) {
     String message =
-        what + ", " + fleet.instances + " instances, " + fleet.quota + " a second for each";
+        description + ", " + fleet.instances + " instances, " + fleet.quota + " a second for each";
     long attempts = 0;
     for (int e = 0; e < warming; e++) {
       double over = fleet.excess(e, startedAt);
-      assertTrue(over <= 0, message + ": over by " + over);
+      assertTrue(over <= 0, message + ": attempts beyond the budget: " + over);
       attempts +=
           fleet.attempts.getOrDefault(100L + e, List.of()).stream()
               .filter(t -> t >= startedAt)
               .count();
     }
-    double used = attempts / (warming * fleet.quota * ASKED * (fleet.now - startedAt) / SECOND);
-    assertTrue(used >= LEAST_USED, message + ": attempts at them " + used + " of those at others");
+    double used =
+        attempts / (warming * fleet.quota * OFFERED_FRACTION * (fleet.now - startedAt) / SECOND);
+    assertTrue(
+        used >= MIN_USED_FRACTION,
+        message + ": attempts at them " + used + " of those at warm ones");
   }
 
   @ParameterizedTest
@@ -276,49 +300,50 @@
   })
   void attemptsOfAllInstancesStayWithinTheBudgets(int instances, int warming) {
     for (double quota : new double[] {1.5, 4, 12}) {
-      for (double asked : new double[] {ASKED, SURGE}) {
-        Fleet fleet = afterWarmUp(instances, quota, asked, 1);
+      for (double offeredFraction : new double[] {OFFERED_FRACTION, SURGE_FRACTION}) {
+        Fleet fleet = afterWarmUp(instances, quota, offeredFraction, 1);
         long at = fleet.now;
-        fleet.start(warming);
-        fleet.run(SLOW_START);
-        assertWithin(fleet, warming, at, warming + " warming, asked " + asked);
+        fleet.restartEndpoints(warming);
+        fleet.runFor(SLOW_START);
+        assertWithin(fleet, warming, at, warming + " warming, asked " + offeredFraction);
       }
     }
   }
 
   /**
-   * Traffic that was thin comes at once: what each has saved up meanwhile is not spent together.
+   * When traffic rises from a tenth of the usual to a surge, the tokens that the instances saved
+   * meanwhile must not be spent all at once.
    */
   @ParameterizedTest
   @ValueSource(ints = {1, 4, 30, 120})
-  void aSurgeAfterThinTrafficStaysWithinTheBudgets(int instances) {
-    Fleet fleet = afterWarmUp(instances, 12, ASKED, 2);
-    fleet.asked = ASKED / 10;
+  void aSurgeAfterLightTrafficStaysWithinTheBudgets(int instances) {
+    Fleet fleet = afterWarmUp(instances, 12, OFFERED_FRACTION, 2);
+    fleet.offeredFraction = OFFERED_FRACTION / 10;
     long at = fleet.now;
-    fleet.start(4);
-    fleet.run(SLOW_START / 3);
-    fleet.asked = SURGE;
-    fleet.run(SLOW_START - SLOW_START / 3);
+    fleet.restartEndpoints(4);
+    fleet.runFor(SLOW_START / 3);
+    fleet.offeredFraction = SURGE_FRACTION;
+    fleet.runFor(SLOW_START - SLOW_START / 3);
     assertWithin(fleet, 4, at, "a surge");
   }
 
   /**
-   * A tenth of the instances is restarted with an empty memory again and again while endpoints are
-   * warming, then all of them.
+   * While endpoints warm up, a tenth of the instances restart in each round, and all of them once.
+   * A restarted engine has no state.
    */
   @ParameterizedTest
   @CsvSource({"1,4", "4,4", "30,4", "120,4", "1,40", "4,40", "30,40", "120,40"})
-  void restartsOfInstancesDoNotAddUp(int instances, int warming) {
-    Fleet fleet = afterWarmUp(instances, 12, ASKED, 3);
+  void restartsOfInstancesStayWithinTheBudgets(int instances, int warming) {
+    Fleet fleet = afterWarmUp(instances, 12, OFFERED_FRACTION, 3);
     long at = fleet.now;
-    fleet.start(warming);
+    fleet.restartEndpoints(warming);
     for (int round = 0; round < 60; round++) {
       for (int b = 0; b < instances; b++) {
         if (round == 30 || (b + round) % 10 == 0) {
-          fleet.restart(b);
+          fleet.restartInstance(b);
         }
       }
-      fleet.run(SLOW_START / 60);
+      fleet.runFor(SLOW_START / 60);
     }
     assertWithin(fleet, warming, at, "restarts");
   }
--- a/src/test/java/loadbalancer/discovery/DiscoveryFailureTest.java
+++ b/src/test/java/loadbalancer/discovery/DiscoveryFailureTest.java
@@ -19,9 +19,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Every failure of a call is noticed and reported. */
+/** Tests that every failure of a discovery call is detected and reported. */
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
-@SuppressWarnings("try") // The proxy runs while its engine is asked.
+@SuppressWarnings("try") // The proxy runs while the test reads the events of its engine.
 class DiscoveryFailureTest {
 
   @ParameterizedTest
@@ -47,15 +47,16 @@
     }
   }
 
-  /** The empty lines go on, so that the watch is not silent. */
+  /** Empty lines follow the incomplete list, so the watch does not fail as silent. */
   @Test
   void reportsAListThatIsCutOffWithinAWatch() throws Exception {
     ScriptedEngine engine = watchingEngine();
     FakeServer.Script script =
         connection -> {
           connection.readRequest();
-          String begun = ProxyFixture.list(42, false, READY_MEMBER).substring(0, 60);
-          connection.write(DiscoveryMessages.watchResponse(begun));
+          String partialList =
+              ProxyFixture.endpointListJson(42, false, READY_MEMBER).substring(0, 60);
+          connection.write(DiscoveryMessages.watchResponse(partialList));
           while (true) {
             connection.write(DiscoveryMessages.chunk(""));
             Thread.sleep(20);
@@ -75,7 +76,8 @@
         connection -> {
           connection.readRequest();
           connection.write(
-              DiscoveryMessages.watchResponse(ProxyFixture.list(42, false, READY_MEMBER)));
+              DiscoveryMessages.watchResponse(
+                  ProxyFixture.endpointListJson(42, false, READY_MEMBER)));
           connection.readRequest();
         };
     try (FakeServer discovery = new FakeServer(script);
--- a/src/test/java/loadbalancer/discovery/DiscoveryWatchTest.java
+++ b/src/test/java/loadbalancer/discovery/DiscoveryWatchTest.java
@@ -22,13 +22,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Lists arrive whole and in order, however they are laid out and cut into pieces. */
+/** Tests that lists arrive complete and in order, whatever their layout and fragmentation. */
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
-@SuppressWarnings("try") // The proxy runs while its engine is asked.
+@SuppressWarnings("try") // The proxy runs while the test reads the events of its engine.
 class DiscoveryWatchTest {
 
   private static final String DRAINING_MEMBER =
-      ProxyFixture.member("s-b", "127.0.0.1:2", "draining");
+      ProxyFixture.endpointJson("s-b", "127.0.0.1:2", "draining");
 
   @Test
   void reportsEveryListOfAWatchAndItsEnd() throws Exception {
@@ -38,10 +38,10 @@
           connection.readRequest();
           String gone =
               DiscoveryMessages.chunk(
-                  ProxyFixture.list(43, false, DiscoveryTestSupport.member("gone")));
+                  ProxyFixture.endpointListJson(43, false, DiscoveryTestSupport.member("gone")));
           connection.write(
               DiscoveryMessages.watchResponse(
-                  ProxyFixture.list(42, true, READY_MEMBER, DRAINING_MEMBER)));
+                  ProxyFixture.endpointListJson(42, true, READY_MEMBER, DRAINING_MEMBER)));
           connection.write(DiscoveryMessages.chunk(""));
           connection.write(gone.substring(0, 20));
           connection.write(gone.substring(20));
@@ -57,7 +57,7 @@
     }
   }
 
-  /** A parser by lines would see many broken lists in an indented one. */
+  /** Guards against parsing by lines, which would split an indented list into malformed ones. */
   @Test
   void acceptsListsThatSpanSeveralLinesOrShareOne() throws Exception {
     ScriptedEngine engine = watchingEngine();
@@ -66,15 +66,17 @@
           connection.readRequest();
           connection.write(
               DiscoveryMessages.watchResponse(
-                  indented(ProxyFixture.list(42, true, READY_MEMBER, DRAINING_MEMBER))));
+                  indented(
+                      ProxyFixture.endpointListJson(42, true, READY_MEMBER, DRAINING_MEMBER))));
           connection.write(DiscoveryMessages.chunk(""));
           String gone =
               indented(
-                  ProxyFixture.list(43, false, ProxyFixture.member("NAME", "127.0.0.1:1", "gone")));
+                  ProxyFixture.endpointListJson(
+                      43, false, ProxyFixture.endpointJson("NAME", "127.0.0.1:1", "gone")));
           for (String line : gone.split("\n", 0)) {
             connection.write(DiscoveryMessages.chunk(line.replace("NAME", "s-a}{\\\"")));
           }
-          String first = ProxyFixture.list(44, false, READY_MEMBER);
+          String first = ProxyFixture.endpointListJson(44, false, READY_MEMBER);
           String second = first.replace("44", "45").replace("ready", "draining");
           connection.write(DiscoveryMessages.chunk(first + second));
           connection.readRequest();
@@ -85,7 +87,7 @@
       assertEquals("FULL 2 READY", nextUpdate(engine));
       assertEquals("DELTA 1 GONE", nextUpdate(engine), "a name with braces and a quote");
       assertEquals("DELTA 1 READY", nextUpdate(engine));
-      assertEquals("DELTA 1 DRAINING", nextUpdate(engine), "two on one line");
+      assertEquals("DELTA 1 DRAINING", nextUpdate(engine), "two lists on one line");
     }
   }
 
@@ -94,7 +96,7 @@
   }
 
   /**
-   * Each piece ends one list and begins the next, for longer in all than one list may stay
+   * Each chunk ends one list and starts the next, for a longer time than a single list may remain
    * incomplete.
    */
   @Test
@@ -103,10 +105,10 @@
     FakeServer.Script script =
         connection -> {
           connection.readRequest();
-          String rest = ProxyFixture.list(42, false, READY_MEMBER);
+          String rest = ProxyFixture.endpointListJson(42, false, READY_MEMBER);
           connection.write(WATCH_HEAD);
           for (int revision = 43; revision < 43 + 15; revision++) {
-            String next = ProxyFixture.list(revision, false, READY_MEMBER);
+            String next = ProxyFixture.endpointListJson(revision, false, READY_MEMBER);
             connection.write(DiscoveryMessages.chunk(rest + next.substring(0, 15)));
             rest = next.substring(15);
             Thread.sleep(100);
@@ -133,7 +135,7 @@
                 actions.accept(new FetchEndpoints());
               }
             });
-    String list = ProxyFixture.list(50, true, READY_MEMBER);
+    String list = ProxyFixture.endpointListJson(50, true, READY_MEMBER);
     try (FakeServer discovery = FakeServer.respondingWith(FakeServer.ok(list));
         ProxyFixture proxy = proxy(discovery, POLLED, engine)) {
       engine.awaitEvent(EndpointListUpdate.class);
@@ -144,19 +146,21 @@
   }
 
   @Test
-  void watchesTheAgentUnaskedWhereListsArePushed() throws Exception {
+  void watchesAgentWithoutActionWhereListsArePushed() throws Exception {
     ScriptedEngine engine = passiveEngine();
     FakeServer.Script script =
         connection -> {
           connection.readRequest();
           connection.write(
-              DiscoveryMessages.watchResponse(ProxyFixture.list(42, false, READY_MEMBER)));
+              DiscoveryMessages.watchResponse(
+                  ProxyFixture.endpointListJson(42, false, READY_MEMBER)));
         };
     try (FakeServer discovery = new FakeServer(script);
         ProxyFixture proxy = proxy(discovery, PUSHED, engine)) {
       engine.awaitEvent(EndpointListUpdate.class);
       assertEquals("DELTA 1 READY", nextUpdate(engine));
-      assertEquals("DELTA 1 READY", nextUpdate(engine), "again after the first watch ended");
+      assertEquals(
+          "DELTA 1 READY", nextUpdate(engine), "from a new watch after the first one ended");
     }
   }
 }
--- a/src/test/java/loadbalancer/downstream/ClientDisconnectTest.java
+++ b/src/test/java/loadbalancer/downstream/ClientDisconnectTest.java
@@ -11,7 +11,7 @@
 import loadbalancer.decision.api.Event.AttemptEnded;
 import loadbalancer.decision.api.Event.ClientDisconnected;
 import loadbalancer.decision.api.Event.RequestArrived;
-import loadbalancer.downstream.DownstreamFixture.Departure;
+import loadbalancer.downstream.DownstreamFixture.DisconnectKind;
 import loadbalancer.testing.DiscoveryMessages;
 import loadbalancer.testing.FakeServer;
 import loadbalancer.testing.ProxyFixture;
@@ -22,13 +22,18 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Clients that disconnect while their request is queued, or while an attempt is decided. */
+/**
+ * Tests clients that disconnect while their request is queued, or while the engine starts an
+ * attempt.
+ */
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
 class ClientDisconnectTest {
 
   private static final long ATTEMPT_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(30);
 
-  /** The engine queues the request, so that no attempt of it can end. */
+  /**
+   * The engine queues the request and starts no attempt of it, whose end could be reported instead.
+   */
   @Test
   void reportsDisconnectOfAClientWhoseRequestIsQueued() throws Exception {
     ScriptedEngine engine = new ScriptedEngine((event, actions) -> {});
@@ -42,7 +47,7 @@
     }
   }
 
-  /** The connection has to be read on behind pipelined requests, or its end goes unnoticed. */
+  /** The connection has to be read even while requests are queued, or its end goes unnoticed. */
   @Test
   void reportsDisconnectOfAClientWithPipelinedRequests() throws Exception {
     ScriptedEngine engine = new ScriptedEngine((event, actions) -> {});
@@ -57,17 +62,19 @@
     }
   }
 
-  /** The engine decides while the disconnect is in the kernel and not read yet. */
+  /**
+   * The engine starts the attempt when the disconnect has reached the kernel and has not been read.
+   */
   @ParameterizedTest
-  @EnumSource(Departure.class)
-  void doesNotSendAnAttemptDecidedWhileItsClientDisconnects(Departure departure) throws Exception {
-    AtomicReference<Client> departing = new AtomicReference<>();
+  @EnumSource(DisconnectKind.class)
+  void doesNotSendAnAttemptDecidedWhileItsClientDisconnects(DisconnectKind kind) throws Exception {
+    AtomicReference<Client> disconnecting = new AtomicReference<>();
     ScriptedEngine engine =
         new ScriptedEngine(
             (event, actions) -> {
               if (event instanceof RequestArrived request) {
-                if (departing.get() != null) {
-                  departure.apply(departing.getAndSet(null));
+                if (disconnecting.get() != null) {
+                  kind.apply(disconnecting.getAndSet(null));
                 }
                 actions.accept(startAttempt(request.requestId(), "s-1"));
               }
@@ -76,12 +83,13 @@
         ProxyFixture proxy = new ProxyFixture(DownstreamFixture.config(upstream), engine);
         Client client = proxy.client();
         Client other = proxy.client()) {
-      departing.set(client);
+      disconnecting.set(client);
       client.write(ProxyFixture.get("leaves", ""));
       assertEquals(AttemptStatus.NOT_SENT, engine.awaitEvent(AttemptEnded.class).status());
-      if (departure == Departure.HALF_CLOSE) {
+      if (kind == DisconnectKind.HALF_CLOSE) {
         assertTrue(
-            client.readResponse().startsWith("HTTP/1.1 503 "), "a final response: it has not run");
+            client.readResponse().startsWith("HTTP/1.1 503 "),
+            "the response says that it has not run");
         assertNull(client.readResponse());
       }
       assertTrue(other.exchange(ProxyFixture.get("stays", "")).startsWith("HTTP/1.1 200 "));
@@ -90,18 +98,21 @@
     }
   }
 
-  /** The same for a retry, decided in the turn of the event loop in which the client leaves. */
+  /**
+   * Likewise for a retry that is started in the turn of the event loop in which the client
+   * disconnects.
+   */
   @ParameterizedTest
-  @EnumSource(Departure.class)
-  void doesNotSendARetryOnceItsClientHasDisconnected(Departure departure) throws Exception {
-    AtomicReference<Client> departing = new AtomicReference<>();
+  @EnumSource(DisconnectKind.class)
+  void doesNotSendARetryOnceItsClientHasDisconnected(DisconnectKind kind) throws Exception {
+    AtomicReference<Client> disconnecting = new AtomicReference<>();
     ScriptedEngine engine =
         new ScriptedEngine(
             (event, actions) -> {
               if (event instanceof RequestArrived request) {
                 actions.accept(startAttempt(request.requestId(), "s-1"));
               } else if (event instanceof AttemptEnded ended && ended.attempt() == 0) {
-                departure.apply(departing.get());
+                kind.apply(disconnecting.get());
                 actions.accept(startAttempt(ended.requestId(), "s-2"));
               }
             });
@@ -110,16 +121,18 @@
         FakeServer second = FakeServer.respondingWith(FakeServer.ok("x"));
         ProxyFixture proxy = new ProxyFixture(DownstreamFixture.config(rejecting, second), engine);
         Client client = proxy.client()) {
-      departing.set(client);
+      disconnecting.set(client);
       client.write(ProxyFixture.get("t", ""));
       assertEquals(AttemptStatus.REJECTED, engine.awaitEvent(AttemptEnded.class).status());
       AttemptEnded retry = engine.awaitEvent(AttemptEnded.class);
       assertEquals(AttemptStatus.NOT_SENT, retry.status());
       assertTrue(retry.isRequestAnswered(), "no further action of the engine is expected");
-      if (departure == Departure.HALF_CLOSE) {
-        assertTrue(client.readResponse().startsWith("HTTP/1.1 503 "), "it has not run");
+      if (kind == DisconnectKind.HALF_CLOSE) {
+        assertTrue(
+            client.readResponse().startsWith("HTTP/1.1 503 "),
+            "the response says that it has not run");
       }
-      assertTrue(second.connections.isEmpty(), "not sent");
+      assertTrue(second.connections.isEmpty(), "the second attempt was not sent");
     }
   }
 
--- a/src/test/java/loadbalancer/downstream/MisbehavingClientTest.java
+++ b/src/test/java/loadbalancer/downstream/MisbehavingClientTest.java
@@ -20,14 +20,20 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Clients that send invalid requests, too much, or nothing: each gets an error or a close. */
+/**
+ * Tests clients that send invalid requests, too much, or nothing: each gets an error, or its
+ * connection is closed.
+ */
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
 class MisbehavingClientTest {
 
   private static final String TENANTS =
       "\"projects\":[{\"name\":\"acme\",\"portion\":1.0,\"quota-per-s\":100000.0}],";
 
-  /** The error says what is wrong, the connection ends, and what follows on it is not read. */
+  /**
+   * The client gets an error with a status for its cause, the connection is closed, and further
+   * requests on it are ignored.
+   */
   @ParameterizedTest
   @CsvSource(
       delimiter = '|',
@@ -69,7 +75,7 @@
   @Test
   void rejectsOverlongRequestLinesAndHeaders() throws Exception {
     BalancerConfig config =
-        ProxyFixture.config(DownstreamFixture.UNREACHABLE, ProxyFixture.list(1, true));
+        ProxyFixture.config(DownstreamFixture.UNREACHABLE, ProxyFixture.endpointListJson(1, true));
     try (ProxyFixture proxy = new ProxyFixture(config);
         Client first = proxy.client();
         Client second = proxy.client()) {
@@ -102,7 +108,7 @@
     }
   }
 
-  /** Waiting requests take memory. */
+  /** Queued requests take memory, so their number is limited. */
   @Test
   void rejectsTooManyPipelinedRequests() throws Exception {
     CountDownLatch signal = new CountDownLatch(1);
@@ -116,7 +122,7 @@
       }
       client.write(requests.toString());
       for (int i = 0; i < 200; i++) {
-        // For each response the proxy polls all sockets, and reads on beyond the limit.
+        // For each response the proxy polls all sockets, and could read beyond the limit.
         other.exchange(DownstreamFixture.HEALTH_CHECK);
       }
       signal.countDown();
@@ -133,21 +139,22 @@
     }
   }
 
-  /** Else another client could interfere with a request, and its effect, by using its id. */
+  /** Otherwise another client could interfere with a request, and its effect, by using its id. */
   @Test
   void rejectsATraceIdThatIsInFlight() throws Exception {
     CountDownLatch signal = new CountDownLatch(1);
     try (FakeServer upstream = DownstreamFixture.respondingAfter(signal);
         ProxyFixture proxy = new ProxyFixture(DownstreamFixture.config(upstream));
         Client client = proxy.client();
-        Client imitator = proxy.client()) {
+        Client otherClient = proxy.client()) {
       client.write(ProxyFixture.get("t", ""));
       assertNotNull(upstream.requests.poll(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS));
-      assertTrue(imitator.exchange(ProxyFixture.get("t", "")).startsWith("HTTP/1.1 409 "));
+      assertTrue(otherClient.exchange(ProxyFixture.get("t", "")).startsWith("HTTP/1.1 409 "));
       signal.countDown();
       assertTrue(client.readResponse().startsWith("HTTP/1.1 200 "));
       assertTrue(
-          imitator.exchange(ProxyFixture.get("t", "")).startsWith("HTTP/1.1 200 "), "free again");
+          otherClient.exchange(ProxyFixture.get("t", "")).startsWith("HTTP/1.1 200 "),
+          "reusable after the response");
       assertEquals(2, upstream.requests.size() + 1);
     }
   }
@@ -156,7 +163,12 @@
   void rejectsAnUnknownTenantAndAnOverlongTraceId() throws Exception {
     String text =
         ProxyFixture.configText(
-            DownstreamFixture.UNREACHABLE, ProxyFixture.list(1, true), "on_request", 200, 1024, "");
+            DownstreamFixture.UNREACHABLE,
+            ProxyFixture.endpointListJson(1, true),
+            "on_request",
+            200,
+            1024,
+            "");
     String withTenants = text.replace("\"settings\":{", "\"settings\":{" + TENANTS);
     try (ProxyFixture proxy = new ProxyFixture(BalancerConfig.parse(withTenants, Map.of()));
         Client client = proxy.client()) {
@@ -167,7 +179,9 @@
     }
   }
 
-  /** Clients that connect and send nothing, or never finish, must not hold descriptors. */
+  /**
+   * Clients that connect and send nothing, or only part of a request, must not hold descriptors.
+   */
   @ParameterizedTest
   @CsvSource(
       delimiter = '|',
@@ -178,13 +192,15 @@
       })
   void closesConnectionsWithoutACompleteRequest(String part, String expected) throws Exception {
     BalancerConfig config =
-        ProxyFixture.config(DownstreamFixture.UNREACHABLE, ProxyFixture.list(1, true));
+        ProxyFixture.config(DownstreamFixture.UNREACHABLE, ProxyFixture.endpointListJson(1, true));
     try (ProxyFixture proxy = new ProxyFixture(config);
         Client client = proxy.client()) {
       client.write(part.replace("~", "\r\n"));
       String response = client.readResponse();
       assertTrue(expected.isEmpty() ? response == null : response.startsWith(expected), response);
-      assertTrue(response == null || client.readResponse() == null, "and the connection ends");
+      assertTrue(
+          response == null || client.readResponse() == null,
+          "the connection is closed after the response");
     }
   }
 
@@ -203,10 +219,10 @@
       for (int i = 0; i < 60; i++) {
         silent.add(proxy.client());
       }
-      assertNull(silent.get(0).readResponse(), "closed");
+      assertNull(silent.get(0).readResponse(), "the connection is closed");
       assertTrue(
           idle.exchange(DownstreamFixture.HEALTH_CHECK).startsWith("HTTP/1.1 200 "),
-          "one that has sent a request stays");
+          "one that has sent a request stays connected");
       signal.countDown();
       assertTrue(served.readResponse().startsWith("HTTP/1.1 200 "));
     } finally {
@@ -216,29 +232,37 @@
     }
   }
 
-  /** Not only closes the connection: the client learns why. */
+  /** The client gets an error before its connection is closed. */
   @Test
   void rejectsABodyOverTheMemoryBudget() throws Exception {
     String text =
         ProxyFixture.configText(
-            DownstreamFixture.UNREACHABLE, ProxyFixture.list(1, true), "on_request", 200, 1024, "");
+            DownstreamFixture.UNREACHABLE,
+            ProxyFixture.endpointListJson(1, true),
+            "on_request",
+            200,
+            1024,
+            "");
     String smallBudget = text.replace("\"memory_mb\":192", "\"memory_mb\":1");
     try (ProxyFixture proxy = new ProxyFixture(BalancerConfig.parse(smallBudget, Map.of()));
         Client first = proxy.client();
-        Client late = proxy.client()) {
+        Client second = proxy.client()) {
       String request = ProxyFixture.post("t", "Idempotency-Key: k\r\n", "x".repeat(60_000));
       String part = request.substring(0, 40_000);
       first.write(part);
       try (Client other = proxy.client()) {
         other.exchange(DownstreamFixture.HEALTH_CHECK);
       }
-      late.write(part);
-      assertTrue(late.readResponse().startsWith("HTTP/1.1 413 "));
-      assertNull(late.readResponse());
+      second.write(part);
+      assertTrue(second.readResponse().startsWith("HTTP/1.1 413 "));
+      assertNull(second.readResponse());
     }
   }
 
-  /** Responds to its first request once signalled, and waits until its connection is closed. */
+  /**
+   * Returns a server that responds to its first request once it is signaled, and then waits until
+   * the connection is closed.
+   */
   private static FakeServer respondingOnce(String body, CountDownLatch signal) throws IOException {
     return new FakeServer(
         connection -> {
@@ -251,10 +275,10 @@
 
   private static BalancerConfig configWithSockets(FakeServer upstream, int sockets)
       throws IOException {
-    String member = ProxyFixture.member("s-1", upstream.address(), "ready");
+    String member = ProxyFixture.endpointJson("s-1", upstream.address(), "ready");
     return ProxyFixture.config(
         DownstreamFixture.UNREACHABLE,
-        ProxyFixture.list(1, true, member),
+        ProxyFixture.endpointListJson(1, true, member),
         "on_request",
         200,
         sockets,
--- a/src/test/java/loadbalancer/json/JsonFieldsTest.java
+++ b/src/test/java/loadbalancer/json/JsonFieldsTest.java
@@ -15,7 +15,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Values of the right type are read; for others the error says where, what was expected and found.
+ * Checks that values are read with their type, and that errors name the path, the required form and
+ * the value found.
  */
 class JsonFieldsTest {
 
@@ -75,7 +76,7 @@
   }
 
   @Test
-  void numbersSkipWhatIsNone() {
+  void numbersSkipFieldsOfOtherTypes() {
     JsonFields fields = parse("{\"load\":{\"a\":1,\"b\":\"x\",\"c\":0.5,\"d\":null}}");
     assertEquals(Map.of("a", 1.0, "c", 0.5), fields.numbersOrEmpty("load"));
   }
@@ -98,9 +99,9 @@
   }
 
   @Test
-  void aPlaceIsPutBeforeTheMessage() {
+  void locationPrecedesTheMessage() {
     MalformedInputException exception =
-        MalformedInputException.mismatch("root.a", "a text", 7L).at("line 3");
+        MalformedInputException.mismatch("root.a", "a text", 7L).withLocation("line 3");
     assertEquals("line 3: field root.a: expected a text, got 7", exception.getMessage());
     assertEquals("root.a", exception.path());
   }
--- a/src/test/java/loadbalancer/proxy/AgentWatchTest.java
+++ b/src/test/java/loadbalancer/proxy/AgentWatchTest.java
@@ -35,7 +35,7 @@
 @SuppressWarnings("try") // The proxy only has to run in the meantime.
 class AgentWatchTest {
 
-  private static final long DRAIN_GRACE_MILLIS = 300;
+  private static final long GRACE_MILLIS = 300;
 
   /** Added to each time limit on real sockets. */
   private static final long TOLERANCE_MILLIS = 50;
@@ -44,11 +44,16 @@
       throws IOException {
     return BalancerConfig.parse(
         ProxyFixture.configText(
-                discovery.address(), ProxyFixture.list(1, true, members), "pushed", 200, 1024, "")
+                discovery.address(),
+                ProxyFixture.endpointListJson(1, true, members),
+                "pushed",
+                200,
+                1024,
+                "")
             .replace(
                 "\"settings\":{",
                 "\"settings\":{\"contract\":{\"drain-grace-ns\":"
-                    + DRAIN_GRACE_MILLIS * 1_000_000
+                    + GRACE_MILLIS * 1_000_000
                     + "},"),
         Map.of());
   }
@@ -76,7 +81,7 @@
   @ParameterizedTest
   @CsvSource({"CLOSED", "RESET", "COMPLETE_RESPONSE", "UNAVAILABLE"})
   void learnsOfADrainWithinItsGraceWhenWatchesEndWithoutAnUpdate(WatchEnd end) throws Exception {
-    String first = ProxyFixture.member("s-a", "127.0.0.1:1", "ready");
+    String first = ProxyFixture.endpointJson("s-a", "127.0.0.1:1", "ready");
     AtomicInteger watchCount = new AtomicInteger();
     AtomicLong drainKnownAt = new AtomicLong();
     CountDownLatch listDelivered = new CountDownLatch(1);
@@ -87,7 +92,9 @@
                   c.readRequest();
                   int number = watchCount.incrementAndGet();
                   if (number == 1) {
-                    c.write(DiscoveryMessages.watchResponse(ProxyFixture.list(2, true, first)));
+                    c.write(
+                        DiscoveryMessages.watchResponse(
+                            ProxyFixture.endpointListJson(2, true, first)));
                     listDelivered.await();
                     drainKnownAt.set(System.nanoTime());
                     end.script.run(c);
@@ -96,7 +103,8 @@
                   } else {
                     c.write(
                         DiscoveryMessages.watchResponse(
-                            ProxyFixture.list(3, true, first.replace("ready", "draining"))));
+                            ProxyFixture.endpointListJson(
+                                3, true, first.replace("ready", "draining"))));
                     c.awaitClose();
                   }
                 });
@@ -109,8 +117,7 @@
           List.of(EndpointState.DRAINING),
           update.endpoints().stream().map(e -> e.state()).toList());
       long millis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - drainKnownAt.get());
-      assertTrue(
-          millis < DRAIN_GRACE_MILLIS + TOLERANCE_MILLIS, "notified after " + millis + " ms");
+      assertTrue(millis < GRACE_MILLIS + TOLERANCE_MILLIS, "notified after " + millis + " ms");
     }
   }
 
@@ -137,11 +144,11 @@
                 });
         ProxyFixture proxy =
             new ProxyFixture(
-                pushedConfig(discovery, ProxyFixture.member("s-a", "127.0.0.1:1", "ready")),
+                pushedConfig(discovery, ProxyFixture.endpointJson("s-a", "127.0.0.1:1", "ready")),
                 new ScriptedEngine((event, out) -> {}))) {
       assertTrue(calls.await(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS));
       long millis = TimeUnit.NANOSECONDS.toMillis(longestDelay.get());
-      assertTrue(millis < DRAIN_GRACE_MILLIS, "no call for " + millis + " ms");
+      assertTrue(millis < GRACE_MILLIS, "no call for " + millis + " ms");
     }
   }
 
@@ -159,10 +166,12 @@
           if (watchCount.incrementAndGet() == 1) {
             c.write(
                 DiscoveryMessages.watchResponse(
-                    ProxyFixture.list(2, true, remainingMember, omittedMember)));
+                    ProxyFixture.endpointListJson(2, true, remainingMember, omittedMember)));
             endFirstWatch.await();
           } else {
-            c.write(DiscoveryMessages.watchResponse(ProxyFixture.list(3, true, remainingMember)));
+            c.write(
+                DiscoveryMessages.watchResponse(
+                    ProxyFixture.endpointListJson(3, true, remainingMember)));
             c.awaitClose();
           }
         });
@@ -187,11 +196,12 @@
         FakeServer remaining = FakeServer.respondingWith(FakeServer.ok("staying"));
         FakeServer discovery =
             discoveryOmitting(
-                ProxyFixture.member("s-stays", remaining.address(), "ready"),
-                ProxyFixture.member("s-leaves", omitted.address(), "ready"),
+                ProxyFixture.endpointJson("s-stays", remaining.address(), "ready"),
+                ProxyFixture.endpointJson("s-leaves", omitted.address(), "ready"),
                 endFirstWatch)) {
       BalancerConfig config =
-          pushedConfig(discovery, ProxyFixture.member("s-leaves", omitted.address(), "ready"));
+          pushedConfig(
+              discovery, ProxyFixture.endpointJson("s-leaves", omitted.address(), "ready"));
       LoadBalancingEngine realEngine = new LoadBalancingEngine(config.settings(), config.seed());
       BlockingQueue<EndpointListUpdate> updates = new LinkedBlockingQueue<>();
       try (ProxyFixture proxy =
--- a/src/test/java/loadbalancer/proxy/AttemptEndOrderTest.java
+++ b/src/test/java/loadbalancer/proxy/AttemptEndOrderTest.java
@@ -21,7 +21,7 @@
 import loadbalancer.decision.api.Event.RequestArrived;
 import loadbalancer.decision.api.UpdateKind;
 import loadbalancer.testing.DiscoveryMessages;
-import loadbalancer.testing.EventLoopSteps;
+import loadbalancer.testing.EventLoopStepQueue;
 import loadbalancer.testing.FakeServer;
 import loadbalancer.testing.ProxyFixture;
 import loadbalancer.testing.ProxyFixture.Client;
@@ -39,11 +39,11 @@
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
 class AttemptEndOrderTest {
 
-  private static final String UNREACHABLE_ADDRESS = "127.0.0.1:1";
+  private static final String UNREACHABLE = "127.0.0.1:1";
   private static final long TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
   private static final long LONG_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(30);
 
-  private final EventLoopSteps steps = new EventLoopSteps();
+  private final EventLoopStepQueue steps = new EventLoopStepQueue();
 
   /**
    * An upstream that runs a script on command for each request; the script has run when {@link
@@ -137,7 +137,7 @@
         steps.add(
             actions -> {
               upstream.run(outcomes.upstream);
-              write(secondTrigger, ProxyFixture.get("trigger-2", EventLoopSteps.TRIGGER_HEADER));
+              write(secondTrigger, ProxyFixture.get("second", EventLoopStepQueue.TRIGGER_HEADER));
             });
         steps.add(actions -> actions.accept(new CancelAttempt("r0", 0)));
       }
@@ -154,7 +154,7 @@
         steps.add(
             actions -> {
               passTimeout();
-              write(secondTrigger, ProxyFixture.get("trigger-2", EventLoopSteps.TRIGGER_HEADER));
+              write(secondTrigger, ProxyFixture.get("second", EventLoopStepQueue.TRIGGER_HEADER));
             });
         steps.add(actions -> upstream.run(outcomes.upstream));
       }
@@ -164,7 +164,7 @@
   }
 
   private static void passTimeout() {
-    EventLoopSteps.sleep(TimeUnit.NANOSECONDS.toMillis(TIMEOUT_NANOS) + 50);
+    EventLoopStepQueue.sleep(TimeUnit.NANOSECONDS.toMillis(TIMEOUT_NANOS) + 50);
   }
 
   private static void write(Client client, String text) {
@@ -176,7 +176,8 @@
   }
 
   private static String endpointList(FakeServer upstream) {
-    return ProxyFixture.list(1, true, ProxyFixture.member("s-1", upstream.address(), "ready"));
+    return ProxyFixture.endpointListJson(
+        1, true, ProxyFixture.endpointJson("s-1", upstream.address(), "ready"));
   }
 
   @ParameterizedTest
@@ -187,14 +188,14 @@
     try (ControlledUpstream upstream = new ControlledUpstream();
         ProxyFixture proxy =
             new ProxyFixture(
-                ProxyFixture.config(UNREACHABLE_ADDRESS, endpointList(upstream.server)), engine);
+                ProxyFixture.config(UNREACHABLE, endpointList(upstream.server)), engine);
         Client client = proxy.client();
         Client trigger = proxy.client();
         Client secondTrigger = proxy.client()) {
       addSteps(outcomes, upstream, secondTrigger);
       client.write(ProxyFixture.get("t", ""));
       upstream.awaitRequest();
-      trigger.exchange(ProxyFixture.get("trigger-1", EventLoopSteps.TRIGGER_HEADER));
+      trigger.exchange(ProxyFixture.get("trigger-1", EventLoopStepQueue.TRIGGER_HEADER));
       AttemptEnded first = engine.awaitEvent(AttemptEnded.class);
       assertEquals(outcomes.status, first.status());
       String response = client.readResponse();
@@ -227,8 +228,7 @@
                   connection.reset();
                 });
         ProxyFixture proxy =
-            new ProxyFixture(
-                ProxyFixture.config(UNREACHABLE_ADDRESS, endpointList(upstream)), engine);
+            new ProxyFixture(ProxyFixture.config(UNREACHABLE, endpointList(upstream)), engine);
         Client client = proxy.client()) {
       String response = client.exchange(ProxyFixture.post("t", "Idempotency-Key: k\r\n", body));
       assertTrue(response.startsWith("HTTP/1.1 502 "));
@@ -268,15 +268,17 @@
           connection.readRequest();
           restarted.await();
           String restartedMember =
-              ProxyFixture.member(newName, upstream.address(), "ready")
+              ProxyFixture.endpointJson(newName, upstream.address(), "ready")
                   .replace("\"up_since_ms\":0", "\"up_since_ms\":" + System.currentTimeMillis());
           String firstUpdate =
               firstState.equals("ready")
                   ? restartedMember
-                  : ProxyFixture.member("s-1", upstream.address(), firstState);
+                  : ProxyFixture.endpointJson("s-1", upstream.address(), firstState);
+          connection.write(
+              DiscoveryMessages.watchResponse(
+                  ProxyFixture.endpointListJson(2, false, firstUpdate)));
           connection.write(
-              DiscoveryMessages.watchResponse(ProxyFixture.list(2, false, firstUpdate)));
-          connection.write(DiscoveryMessages.chunk(ProxyFixture.list(3, false, restartedMember)));
+              DiscoveryMessages.chunk(ProxyFixture.endpointListJson(3, false, restartedMember)));
           connection.awaitClose();
         });
   }
@@ -311,7 +313,7 @@
                 ProxyFixture.config(discovery.address(), endpointList(upstream)), engine);
         Client client = proxy.client()) {
       assertTrue(client.exchange(ProxyFixture.get("t1", "")).endsWith("\r\n\r\nbefore"));
-      EventLoopSteps.sleep(50); // The connection is reusable by then.
+      EventLoopStepQueue.sleep(50); // The connection is reusable by then.
       restarted.countDown();
       for (UpdateKind kind : List.of(UpdateKind.CACHED, UpdateKind.DELTA, UpdateKind.DELTA)) {
         assertEquals(kind, engine.awaitEvent(EndpointListUpdate.class).kind());
--- a/src/test/java/loadbalancer/proxy/ClientFloodTest.java
+++ b/src/test/java/loadbalancer/proxy/ClientFloodTest.java
@@ -27,7 +27,7 @@
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
 class ClientFloodTest {
 
-  private static final String UNREACHABLE_ADDRESS = "127.0.0.1:1";
+  private static final String UNREACHABLE = "127.0.0.1:1";
   private static final long LONG_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(30);
   private static final String HEALTH_REQUEST = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
   private static final String CLOSE_HEADER = "Connection: close\r\n";
@@ -37,8 +37,9 @@
       throws IOException {
     return BalancerConfig.parse(
         ProxyFixture.configText(
-                UNREACHABLE_ADDRESS,
-                ProxyFixture.list(1, true, ProxyFixture.member("s-1", upstream.address(), "ready")),
+                UNREACHABLE,
+                ProxyFixture.endpointListJson(
+                    1, true, ProxyFixture.endpointJson("s-1", upstream.address(), "ready")),
                 "on_request",
                 200,
                 1024,
@@ -229,7 +230,8 @@
   @Test
   void timesOutAPartialRequestBehindACompleteOne() throws Exception {
     try (ProxyFixture proxy =
-            new ProxyFixture(ProxyFixture.config(UNREACHABLE_ADDRESS, ProxyFixture.list(1, true)));
+            new ProxyFixture(
+                ProxyFixture.config(UNREACHABLE, ProxyFixture.endpointListJson(1, true)));
         Client client = proxy.client()) {
       long startNanos = System.nanoTime();
       client.write(HEALTH_REQUEST + "GET /api HT");
--- a/src/test/java/loadbalancer/proxy/ConnectionCloseTest.java
+++ b/src/test/java/loadbalancer/proxy/ConnectionCloseTest.java
@@ -42,7 +42,7 @@
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
 class ConnectionCloseTest {
 
-  private static final String UNREACHABLE_ADDRESS = "127.0.0.1:1";
+  private static final String UNREACHABLE = "127.0.0.1:1";
   private static final long LONG_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(30);
   private static final String HEALTH_REQUEST = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
   private static final String TRIGGER_HEADER = "X-Size-Hint: 7\r\n";
@@ -82,7 +82,7 @@
             });
     try (ProxyFixture proxy =
             new ProxyFixture(
-                ProxyFixture.config(UNREACHABLE_ADDRESS, ProxyFixture.list(1, true)), engine);
+                ProxyFixture.config(UNREACHABLE, ProxyFixture.endpointListJson(1, true)), engine);
         Client client = proxy.client()) {
       started.set(proxy);
       requestingClient.set(client);
@@ -121,7 +121,7 @@
             });
     try (ProxyFixture proxy =
             new ProxyFixture(
-                ProxyFixture.config(UNREACHABLE_ADDRESS, ProxyFixture.list(1, true)), engine);
+                ProxyFixture.config(UNREACHABLE, ProxyFixture.endpointListJson(1, true)), engine);
         Client client = proxy.client()) {
       started.set(proxy);
       requestingClient.set(client);
@@ -177,9 +177,9 @@
       try (ProxyFixture proxy =
           new ProxyFixture(
               ProxyFixture.config(
-                  UNREACHABLE_ADDRESS,
-                  ProxyFixture.list(
-                      1, true, ProxyFixture.member("s-1", upstream.address(), "ready"))),
+                  UNREACHABLE,
+                  ProxyFixture.endpointListJson(
+                      1, true, ProxyFixture.endpointJson("s-1", upstream.address(), "ready"))),
               engine)) {
         started.set(proxy);
         client.setReceiveBufferSize(2048);
@@ -286,9 +286,9 @@
         ProxyFixture proxy =
             new ProxyFixture(
                 ProxyFixture.config(
-                    UNREACHABLE_ADDRESS,
-                    ProxyFixture.list(
-                        1, true, ProxyFixture.member("s-1", upstream.address(), "ready"))),
+                    UNREACHABLE,
+                    ProxyFixture.endpointListJson(
+                        1, true, ProxyFixture.endpointJson("s-1", upstream.address(), "ready"))),
                 engine);
         Client client = proxy.client();
         Client other = proxy.client()) {
@@ -345,7 +345,7 @@
     // At the limit of three clients, the one that connected first is closed first.
     BalancerConfig config =
         ProxyFixture.config(
-            UNREACHABLE_ADDRESS, ProxyFixture.list(1, true), "on_request", 200, 62, "");
+            UNREACHABLE, ProxyFixture.endpointListJson(1, true), "on_request", 200, 62, "");
     try (ProxyFixture proxy = new ProxyFixture(config, engine);
         Client requesting = proxy.client()) {
       if (servedBefore) {
@@ -384,7 +384,7 @@
             });
     try (ProxyFixture proxy =
             new ProxyFixture(
-                ProxyFixture.config(UNREACHABLE_ADDRESS, ProxyFixture.list(1, true)), engine);
+                ProxyFixture.config(UNREACHABLE, ProxyFixture.endpointListJson(1, true)), engine);
         Client idle = proxy.client()) {
       assertNotNull(idle.exchange(HEALTH_REQUEST));
       Thread shutdown = new Thread(proxy.server::shutDownGracefully);
--- a/src/test/java/loadbalancer/proxy/FragmentedMessageTest.java
+++ b/src/test/java/loadbalancer/proxy/FragmentedMessageTest.java
@@ -26,14 +26,15 @@
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
 class FragmentedMessageTest {
 
-  private static final String UNREACHABLE_ADDRESS = "127.0.0.1:1";
+  private static final String UNREACHABLE = "127.0.0.1:1";
   private static final long LONG_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(30);
   private static final String INFORMATIONAL = "HTTP/1.1 100 Continue\r\n\r\n";
 
   private static BalancerConfig singleEndpointConfig(FakeServer upstream) throws IOException {
     return ProxyFixture.config(
-        UNREACHABLE_ADDRESS,
-        ProxyFixture.list(1, true, ProxyFixture.member("s-1", upstream.address(), "ready")));
+        UNREACHABLE,
+        ProxyFixture.endpointListJson(
+            1, true, ProxyFixture.endpointJson("s-1", upstream.address(), "ready")));
   }
 
   /** Waits until the proxy has read from all its sockets once more, and handled what was read. */
--- a/src/test/java/loadbalancer/proxy/GracefulShutdownTest.java
+++ b/src/test/java/loadbalancer/proxy/GracefulShutdownTest.java
@@ -37,7 +37,7 @@
   private static BalancerConfig config(long deadlineMillis) throws IOException {
     String text =
         ProxyFixture.configText(
-            "127.0.0.1:1", ProxyFixture.list(1, true), "on_request", 200, 1024, "");
+            "127.0.0.1:1", ProxyFixture.endpointListJson(1, true), "on_request", 200, 1024, "");
     return BalancerConfig.parse(
         text.replace(
             "\"deadline-ns\":40000000000", "\"deadline-ns\":" + deadlineMillis * 1_000_000),
@@ -69,7 +69,7 @@
   void completesAllRequestsBeforeSigkillMayCome() throws IOException {
     String text =
         ProxyFixture.configText(
-            "127.0.0.1:1", ProxyFixture.list(1, true), "on_request", 200, 1024, "");
+            "127.0.0.1:1", ProxyFixture.endpointListJson(1, true), "on_request", 200, 1024, "");
     Settings shortDeadlines =
         BalancerConfig.parse(text.replace("40000000000", "1940000000"), Map.of()).settings();
     assertTrue(GracefulShutdown.expiryMillis(shortDeadlines) < 1940 + 700);
@@ -255,8 +255,8 @@
             new ProxyFixture(
                 ProxyFixture.config(
                     "127.0.0.1:1",
-                    ProxyFixture.list(
-                        1, true, ProxyFixture.member("s-1", upstream.address(), "ready"))));
+                    ProxyFixture.endpointListJson(
+                        1, true, ProxyFixture.endpointJson("s-1", upstream.address(), "ready"))));
         Client earlier = proxy.client()) {
       assertTrue(earlier.exchange(ProxyFixture.get("t1", "")).startsWith("HTTP/1.1 200 "));
       Thread shutdown = startShutdown(proxy);
--- a/src/test/java/loadbalancer/proxy/LargeFleetIT.java
+++ b/src/test/java/loadbalancer/proxy/LargeFleetIT.java
@@ -86,13 +86,13 @@
 
   /** Returns a list of many endpoints, of which only one is ready. */
   private static String list(int revision, int ready, String address) {
-    return ProxyFixture.list(
+    return ProxyFixture.endpointListJson(
         revision,
         true,
         IntStream.range(0, FLEET_SIZE)
             .mapToObj(
                 i ->
-                    ProxyFixture.member(
+                    ProxyFixture.endpointJson(
                         "upstream-with-a-long-name-" + i,
                         i == ready ? address : "127.0.0.1:1",
                         i == ready ? "ready" : "draining"))
@@ -176,8 +176,9 @@
             connection.reset();
           }
           connection.readRequest();
-          String member = ProxyFixture.member("s-listed", listed.address(), "ready");
-          connection.write(DiscoveryMessages.watchResponse(ProxyFixture.list(42, true, member)));
+          String member = ProxyFixture.endpointJson("s-listed", listed.address(), "ready");
+          connection.write(
+              DiscoveryMessages.watchResponse(ProxyFixture.endpointListJson(42, true, member)));
           connection.awaitClose();
         });
   }
@@ -245,11 +246,11 @@
         FakeServer listed = FakeServer.respondingWith(FakeServer.ok("listed"));
         FakeServer discovery = discovery(isUp, listed)) {
       String members =
-          ProxyFixture.list(
+          ProxyFixture.endpointListJson(
               41,
               true,
-              ProxyFixture.member("s-slow", slow.address(), "ready"),
-              ProxyFixture.member("s-known", known.address(), "ready"));
+              ProxyFixture.endpointJson("s-slow", slow.address(), "ready"),
+              ProxyFixture.endpointJson("s-known", known.address(), "ready"));
       int port =
           start(ProxyFixture.configText(discovery.address(), members, "pushed", 200, 256, ""), 256);
       List<Socket> open = openRequests(port, slow);
--- a/src/test/java/loadbalancer/proxy/ProxyTest.java
+++ b/src/test/java/loadbalancer/proxy/ProxyTest.java
@@ -22,12 +22,12 @@
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
 class ProxyTest {
 
-  private static final String UNREACHABLE_ADDRESS = "127.0.0.1:1";
+  private static final String UNREACHABLE = "127.0.0.1:1";
   private static final String HEALTH_REQUEST = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
 
   private static BalancerConfig singleEndpointConfig(FakeServer upstream) throws IOException {
-    String member = ProxyFixture.member("s-1", upstream.address(), "ready");
-    return ProxyFixture.config(UNREACHABLE_ADDRESS, ProxyFixture.list(1, true, member));
+    String member = ProxyFixture.endpointJson("s-1", upstream.address(), "ready");
+    return ProxyFixture.config(UNREACHABLE, ProxyFixture.endpointListJson(1, true, member));
   }
 
   @Test
@@ -120,7 +120,7 @@
       assertTrue(client.exchange(HEALTH_REQUEST).startsWith("HTTP/1.1 200 "));
     }
     BalancerConfig noEndpoints =
-        ProxyFixture.config(UNREACHABLE_ADDRESS, ProxyFixture.list(1, true));
+        ProxyFixture.config(UNREACHABLE, ProxyFixture.endpointListJson(1, true));
     try (ProxyFixture proxy = new ProxyFixture(noEndpoints);
         Client client = proxy.client()) {
       assertTrue(
@@ -137,7 +137,8 @@
                 actions.accept(new RejectRequest(request.requestId(), 250_000_001));
               }
             });
-    BalancerConfig config = ProxyFixture.config(UNREACHABLE_ADDRESS, ProxyFixture.list(1, true));
+    BalancerConfig config =
+        ProxyFixture.config(UNREACHABLE, ProxyFixture.endpointListJson(1, true));
     try (ProxyFixture proxy = new ProxyFixture(config, engine);
         Client client = proxy.client()) {
       String response = client.exchange(ProxyFixture.get("t", ""));
--- a/src/test/java/loadbalancer/proxy/ReloadOrderTest.java
+++ b/src/test/java/loadbalancer/proxy/ReloadOrderTest.java
@@ -15,7 +15,7 @@
 import loadbalancer.decision.api.Event.EndpointListUpdate;
 import loadbalancer.decision.api.UpdateKind;
 import loadbalancer.testing.DiscoveryMessages;
-import loadbalancer.testing.EventLoopSteps;
+import loadbalancer.testing.EventLoopStepQueue;
 import loadbalancer.testing.FakeServer;
 import loadbalancer.testing.ProxyFixture;
 import loadbalancer.testing.ProxyFixture.Client;
@@ -32,22 +32,22 @@
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
 class ReloadOrderTest {
 
-  private static final String UNREACHABLE_ADDRESS = "127.0.0.1:1";
-  private static final String READY = ProxyFixture.member("s-1", UNREACHABLE_ADDRESS, "ready");
-  private static final String DRAINING =
-      ProxyFixture.member("s-1", UNREACHABLE_ADDRESS, "draining");
+  private static final String UNREACHABLE = "127.0.0.1:1";
+  private static final String READY = ProxyFixture.endpointJson("s-1", UNREACHABLE, "ready");
+  private static final String DRAINING = ProxyFixture.endpointJson("s-1", UNREACHABLE, "draining");
 
   private static final String OTHER_DRAINING =
-      ProxyFixture.member("s-2", UNREACHABLE_ADDRESS, "draining");
+      ProxyFixture.endpointJson("s-2", UNREACHABLE, "draining");
 
-  private final EventLoopSteps steps = new EventLoopSteps();
+  private final EventLoopStepQueue steps = new EventLoopStepQueue();
 
   private static BalancerConfig config(String discovery, String known) throws IOException {
     return ProxyFixture.config(discovery, known, "pushed", 200, 1024, "");
   }
 
   private static void reload(ProxyFixture proxy, FakeServer discovery) {
-    proxy.server.reload(() -> ProxyFixture.config(discovery.address(), ProxyFixture.list(1, true)));
+    proxy.server.reload(
+        () -> ProxyFixture.config(discovery.address(), ProxyFixture.endpointListJson(1, true)));
   }
 
   private static void write(Client client, String text) {
@@ -71,9 +71,9 @@
   @ValueSource(booleans = {true, false})
   void carriesOutAReloadAndAShutdownInOneTurn(boolean shutdownFirst) throws Exception {
     ScriptedEngine engine = steps.engine("s-1", TimeUnit.SECONDS.toNanos(30));
-    try (FakeServer replacement = new FakeServer(FakeServer.Connection::awaitClose);
+    try (FakeServer newAgent = new FakeServer(FakeServer.Connection::awaitClose);
         ProxyFixture proxy =
-            new ProxyFixture(config(UNREACHABLE_ADDRESS, ProxyFixture.list(1, true)), engine);
+            new ProxyFixture(config(UNREACHABLE, ProxyFixture.endpointListJson(1, true)), engine);
         Client trigger = proxy.client();
         Client other = proxy.client()) {
       Thread shutdown = new Thread(proxy.server::shutDownGracefully);
@@ -81,19 +81,19 @@
           actions -> {
             if (shutdownFirst) {
               shutdown.start();
-              EventLoopSteps.sleep(100); // It waits for the event loop by then.
+              EventLoopStepQueue.sleep(100); // It waits for the event loop by then.
             }
-            reload(proxy, replacement);
+            reload(proxy, newAgent);
             if (!shutdownFirst) {
               shutdown.start();
-              EventLoopSteps.sleep(100);
+              EventLoopStepQueue.sleep(100);
             }
           });
       String response =
-          trigger.exchange(ProxyFixture.get("trigger", EventLoopSteps.TRIGGER_HEADER));
+          trigger.exchange(ProxyFixture.get("trigger", EventLoopStepQueue.TRIGGER_HEADER));
       assertTrue(response.startsWith("HTTP/1.1 429 "));
       assertNotNull(
-          replacement.connections.poll(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS),
+          newAgent.connections.poll(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS),
           "connects to the new discovery");
       String health = other.exchange("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
       assertTrue(health.startsWith("HTTP/1.1 503 "), "the proxy is shutting down");
@@ -103,7 +103,7 @@
   }
 
   /** Returns an agent that sends one list to every watch and keeps the watch open. */
-  private static FakeServer agentSending(String list) throws IOException {
+  private static FakeServer agent(String list) throws IOException {
     return new FakeServer(
         connection -> {
           connection.readRequest();
@@ -121,7 +121,8 @@
     return new FakeServer(
         connection -> {
           connection.readRequest();
-          connection.write(DiscoveryMessages.watchResponse(ProxyFixture.list(2, true, READY)));
+          connection.write(
+              DiscoveryMessages.watchResponse(ProxyFixture.endpointListJson(2, true, READY)));
           close.await();
           connection.reset();
           closed.countDown();
@@ -131,40 +132,39 @@
   /** The old discovery resets the watch in the turn of the reload, before or after it. */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void keepsOneWatchWhenTheOldDiscoveryClosesInTheTurnOfTheReload(boolean closedFirst)
-      throws Exception {
+  void keepsOneWatchWhenTheOldAgentClosesInTheTurnOfTheReload(boolean closeFirst) throws Exception {
     CountDownLatch close = new CountDownLatch(1);
     CountDownLatch closed = new CountDownLatch(1);
     ScriptedEngine engine = steps.engine("s-1", 0);
-    try (FakeServer former = resettingAgent(close, closed);
-        FakeServer replacement = agentSending(ProxyFixture.list(3, true, READY, OTHER_DRAINING));
+    try (FakeServer oldAgent = resettingAgent(close, closed);
+        FakeServer newAgent = agent(ProxyFixture.endpointListJson(3, true, READY, OTHER_DRAINING));
         ProxyFixture proxy =
-            new ProxyFixture(config(former.address(), ProxyFixture.list(1, true, READY)), engine);
+            new ProxyFixture(
+                config(oldAgent.address(), ProxyFixture.endpointListJson(1, true, READY)), engine);
         Client trigger = proxy.client();
         Client secondTrigger = proxy.client()) {
       assertEquals(UpdateKind.CACHED, engine.awaitEvent(EndpointListUpdate.class).kind());
       assertEquals(UpdateKind.FULL, engine.awaitEvent(EndpointListUpdate.class).kind());
       steps.add(
           actions -> {
-            if (closedFirst) {
+            if (closeFirst) {
               close.countDown();
-              await(closed);
-              // Read in the same turn as the reset, and handled after it: then the reload follows.
-              write(secondTrigger, ProxyFixture.get("trigger-2", EventLoopSteps.TRIGGER_HEADER));
+              await(closed); // The trigger is read in the turn of the reset, and handled later.
+              write(secondTrigger, ProxyFixture.get("second", EventLoopStepQueue.TRIGGER_HEADER));
             } else {
-              reload(proxy, replacement);
+              reload(proxy, newAgent);
               close.countDown();
               await(closed);
             }
           });
-      if (closedFirst) {
-        steps.add(actions -> reload(proxy, replacement));
+      if (closeFirst) {
+        steps.add(actions -> reload(proxy, newAgent));
       }
-      trigger.exchange(ProxyFixture.get("trigger-1", EventLoopSteps.TRIGGER_HEADER));
+      trigger.exchange(ProxyFixture.get("trigger-1", EventLoopStepQueue.TRIGGER_HEADER));
       EndpointListUpdate update = engine.awaitEvent(EndpointListUpdate.class);
       assertEquals(2, update.endpoints().size(), "from the new discovery's list");
-      EventLoopSteps.sleep(1000); // Longer than the longest backoff.
-      assertEquals(1, replacement.connections.size(), "one watch at the new address");
+      EventLoopStepQueue.sleep(1000); // Longer than the longest backoff.
+      assertEquals(1, newAgent.connections.size(), "one watch at the new address");
       assertNull(
           engine.events.stream()
               .filter(event -> event instanceof EndpointListUpdate)
@@ -181,8 +181,8 @@
   void learnsOfDrainsInTimeWhenTheNewDiscoveryIsDownAtTheReload() throws Exception {
     AtomicInteger calls = new AtomicInteger();
     ScriptedEngine engine = steps.engine("s-1", 0);
-    try (FakeServer former = agentSending(ProxyFixture.list(2, true, READY));
-        FakeServer replacement =
+    try (FakeServer oldAgent = agent(ProxyFixture.endpointListJson(2, true, READY));
+        FakeServer newAgent =
             new FakeServer(
                 connection -> {
                   // Resets until the backoff is at its maximum, then stays silent once, and only
@@ -194,16 +194,19 @@
                   } else {
                     connection.readRequest();
                     connection.write(
-                        DiscoveryMessages.watchResponse(ProxyFixture.list(3, false, DRAINING)));
+                        DiscoveryMessages.watchResponse(
+                            ProxyFixture.endpointListJson(3, false, DRAINING)));
                     connection.awaitClose();
                   }
                 });
         ProxyFixture proxy =
-            new ProxyFixture(config(former.address(), ProxyFixture.list(1, true, READY)), engine)) {
+            new ProxyFixture(
+                config(oldAgent.address(), ProxyFixture.endpointListJson(1, true, READY)),
+                engine)) {
       engine.awaitEvent(EndpointListUpdate.class);
       assertEquals(UpdateKind.FULL, engine.awaitEvent(EndpointListUpdate.class).kind());
       long reloadedAt = System.nanoTime();
-      reload(proxy, replacement);
+      reload(proxy, newAgent);
       EndpointListUpdate update = engine.awaitEvent(EndpointListUpdate.class);
       assertEquals(
           List.of(EndpointState.DRAINING),
--- a/src/test/java/loadbalancer/proxy/ReloadTest.java
+++ b/src/test/java/loadbalancer/proxy/ReloadTest.java
@@ -34,8 +34,8 @@
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
 class ReloadTest {
 
-  private static final String MEMBER_A = ProxyFixture.member("s-a", "127.0.0.1:1", "ready");
-  private static final String MEMBER_B = ProxyFixture.member("s-b", "127.0.0.1:2", "ready");
+  private static final String MEMBER_A = ProxyFixture.endpointJson("s-a", "127.0.0.1:1", "ready");
+  private static final String MEMBER_B = ProxyFixture.endpointJson("s-b", "127.0.0.1:2", "ready");
 
   private static FakeServer discovery(String... lines) throws IOException {
     return new FakeServer(
@@ -62,19 +62,26 @@
   }
 
   private static BalancerConfig polledConfig(FakeServer discovery) throws IOException {
-    return ProxyFixture.config(discovery.address(), ProxyFixture.list(1, true, MEMBER_A));
+    return ProxyFixture.config(
+        discovery.address(), ProxyFixture.endpointListJson(1, true, MEMBER_A));
   }
 
   private static BalancerConfig pushedConfig(FakeServer discovery) throws IOException {
     return ProxyFixture.config(
-        discovery.address(), ProxyFixture.list(1, true, MEMBER_A), "pushed", 200, 1024, "");
+        discovery.address(),
+        ProxyFixture.endpointListJson(1, true, MEMBER_A),
+        "pushed",
+        200,
+        1024,
+        "");
   }
 
   @Test
   void followsDiscoveryToItsNewAddressAtOnce() throws Exception {
     ScriptedEngine engine = watchingEngine();
-    try (FakeServer oldDiscovery = discovery(ProxyFixture.list(2, true, MEMBER_A));
-        FakeServer newDiscovery = discovery(ProxyFixture.list(3, true, MEMBER_A, MEMBER_B));
+    try (FakeServer oldDiscovery = discovery(ProxyFixture.endpointListJson(2, true, MEMBER_A));
+        FakeServer newDiscovery =
+            discovery(ProxyFixture.endpointListJson(3, true, MEMBER_A, MEMBER_B));
         ProxyFixture proxy = new ProxyFixture(polledConfig(oldDiscovery), engine)) {
       engine.awaitEvent(EndpointListUpdate.class);
       assertEquals(1, engine.awaitEvent(EndpointListUpdate.class).endpoints().size());
@@ -94,7 +101,7 @@
   @Test
   void changesNothingWhereTheFileCannotBeRead() throws Exception {
     ScriptedEngine engine = watchingEngine();
-    try (FakeServer discovery = discovery(ProxyFixture.list(2, true, MEMBER_A));
+    try (FakeServer discovery = discovery(ProxyFixture.endpointListJson(2, true, MEMBER_A));
         ProxyFixture proxy = new ProxyFixture(polledConfig(discovery), engine)) {
       engine.awaitEvent(EndpointListUpdate.class);
       engine.awaitEvent(EndpointListUpdate.class);
@@ -148,7 +155,12 @@
   void prefersTheFileToTheEnvironment() throws Exception {
     String text =
         ProxyFixture.configText(
-            "127.0.0.1:8501", ProxyFixture.list(1, true, MEMBER_A), "on_request", 200, 1024, "");
+            "127.0.0.1:8501",
+            ProxyFixture.endpointListJson(1, true, MEMBER_A),
+            "on_request",
+            200,
+            1024,
+            "");
     Map<String, String> environment =
         Map.of("ROUTER_DISCOVERY", "127.0.0.1:8500", "ROUTER_NAME", "n7");
     assertEquals(8501, BalancerConfig.parse(text, environment).discoveryAddress().getPort());
--- a/src/test/java/loadbalancer/proxy/RemainingTimeTest.java
+++ b/src/test/java/loadbalancer/proxy/RemainingTimeTest.java
@@ -39,7 +39,7 @@
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
 class RemainingTimeTest {
 
-  private static final String UNREACHABLE_ADDRESS = "127.0.0.1:1";
+  private static final String UNREACHABLE = "127.0.0.1:1";
   private static final long LONG_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(30);
   private static final Pattern TIMEOUT_HEADER =
       Pattern.compile("X-Expires-In-Ms: (\\d+)\r\n", Pattern.CASE_INSENSITIVE);
@@ -56,12 +56,12 @@
 
   private static BalancerConfig config(String first, String second) throws IOException {
     return ProxyFixture.config(
-        UNREACHABLE_ADDRESS,
-        ProxyFixture.list(
+        UNREACHABLE,
+        ProxyFixture.endpointListJson(
             1,
             true,
-            ProxyFixture.member("s-1", first, "ready"),
-            ProxyFixture.member("s-2", second, "ready")),
+            ProxyFixture.endpointJson("s-1", first, "ready"),
+            ProxyFixture.endpointJson("s-2", second, "ready")),
         "on_request",
         1000 * ProxyFixture.TIMEOUT_SECONDS,
         1024,
@@ -144,7 +144,7 @@
               }
             });
     try (UnresponsiveUpstream late = new UnresponsiveUpstream();
-        ProxyFixture proxy = new ProxyFixture(config(UNREACHABLE_ADDRESS, late.address()), engine);
+        ProxyFixture proxy = new ProxyFixture(config(UNREACHABLE, late.address()), engine);
         Client client = proxy.client();
         Client other = proxy.client()) {
       upstream.set(late);
@@ -176,8 +176,7 @@
                 });
         ProxyFixture proxy =
             new ProxyFixture(
-                config(upstream.address(), UNREACHABLE_ADDRESS),
-                new ScriptedEngine(LONG_TIMEOUT_NANOS));
+                config(upstream.address(), UNREACHABLE), new ScriptedEngine(LONG_TIMEOUT_NANOS));
         Client client = proxy.client()) {
       client.write(
           ProxyFixture.get("first", "")
--- a/src/test/java/loadbalancer/proxy/RequestDispatcherTest.java
+++ b/src/test/java/loadbalancer/proxy/RequestDispatcherTest.java
@@ -35,10 +35,10 @@
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
 class RequestDispatcherTest {
 
-  private static final String UNREACHABLE_ADDRESS = "127.0.0.1:1";
+  private static final String UNREACHABLE = "127.0.0.1:1";
 
   private static BalancerConfig noEndpointsConfig() throws IOException {
-    return ProxyFixture.config(UNREACHABLE_ADDRESS, ProxyFixture.list(1, true));
+    return ProxyFixture.config(UNREACHABLE, ProxyFixture.endpointListJson(1, true));
   }
 
   @Test
@@ -136,7 +136,7 @@
               + ",";
       BalancerConfig config =
           ProxyFixture.config(
-              UNREACHABLE_ADDRESS, ProxyFixture.list(1, true), "on_request", 200, 1024, more);
+              UNREACHABLE, ProxyFixture.endpointListJson(1, true), "on_request", 200, 1024, more);
       try (ProxyFixture proxy = new ProxyFixture(config, engine);
           Client client = proxy.client()) {
         client.write(ProxyFixture.get("t", ""));
@@ -185,9 +185,9 @@
         ProxyFixture proxy =
             new ProxyFixture(
                 ProxyFixture.config(
-                    UNREACHABLE_ADDRESS,
-                    ProxyFixture.list(
-                        1, true, ProxyFixture.member("s-1", upstream.address(), "ready"))),
+                    UNREACHABLE,
+                    ProxyFixture.endpointListJson(
+                        1, true, ProxyFixture.endpointJson("s-1", upstream.address(), "ready"))),
                 engine);
         Client client = proxy.client();
         Client other = proxy.client()) {
--- a/src/test/java/loadbalancer/proxy/StartupTest.java
+++ b/src/test/java/loadbalancer/proxy/StartupTest.java
@@ -30,8 +30,9 @@
 class StartupTest {
 
   private static final long LONG_MILLIS = TimeUnit.MINUTES.toMillis(1);
-  private static final String READY = ProxyFixture.member("s-a", "127.0.0.1:1", "ready");
-  private static final String DRAINING = ProxyFixture.member("s-a", "127.0.0.1:1", "draining");
+  private static final String READY = ProxyFixture.endpointJson("s-a", "127.0.0.1:1", "ready");
+  private static final String DRAINING =
+      ProxyFixture.endpointJson("s-a", "127.0.0.1:1", "draining");
 
   private static Settings settings() throws IOException {
     return BalancerConfig.read(Map.of("ROUTER_CONFIG", "deploy/example.json")).settings();
@@ -48,7 +49,12 @@
 
   private static BalancerConfig pushedConfig(FakeServer discovery) throws IOException {
     return ProxyFixture.config(
-        discovery.address(), ProxyFixture.list(1, true, READY), "pushed", 200, 1024, "");
+        discovery.address(),
+        ProxyFixture.endpointListJson(1, true, READY),
+        "pushed",
+        200,
+        1024,
+        "");
   }
 
   /**
@@ -89,7 +95,8 @@
    */
   @Test
   void warmUpEndpointsServeEveryRequest() throws IOException {
-    Settings settings = ProxyFixture.config("127.0.0.1:1", ProxyFixture.list(1, true)).settings();
+    Settings settings =
+        ProxyFixture.config("127.0.0.1:1", ProxyFixture.endpointListJson(1, true)).settings();
     Result result = WarmUp.run(settings, LONG_MILLIS);
     assertEquals(new Result(WarmUp.MAX_REQUESTS, WarmUp.MAX_REQUESTS, WarmUp.MAX_REQUESTS), result);
   }
@@ -112,7 +119,8 @@
                   prepared.await(
                       DiscoveryClient.AGENT_FIRST_LIST_TIMEOUT_MILLIS / 2, TimeUnit.MILLISECONDS));
               connection.write(
-                  DiscoveryMessages.watchResponse(ProxyFixture.list(2, false, DRAINING)));
+                  DiscoveryMessages.watchResponse(
+                      ProxyFixture.endpointListJson(2, false, DRAINING)));
               connection.awaitClose();
             })) {
       ProxyServer server =
--- a/src/test/java/loadbalancer/upstream/SecondResponseGuardTest.java
+++ b/src/test/java/loadbalancer/upstream/SecondResponseGuardTest.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** How long connections stay unused after a response. */
+/** Tests the length of the quiet period after a response. */
 class SecondResponseGuardTest {
 
   private final SecondResponseGuard guard = new SecondResponseGuard();
@@ -30,14 +30,14 @@
   }
 
   @Test
-  void growsToNoMoreThanTheLongestPeriod() {
+  void doesNotGrowBeyondMaximum() {
     recordAfterMillis(100);
     assertFalse(isOverAfterMillis(99));
     assertTrue(isOverAfterMillis(100));
   }
 
   @Test
-  void ignoresWhatArrivesAfterTheLongestPeriod() {
+  void ignoresBytesAfterMaximumQuietPeriod() {
     recordAfterMillis(101);
     assertTrue(isOverAfterMillis(10));
   }
