--- a/src/main/java/loadbalancer/proxy/AttemptGuard.java
+++ b/src/main/java/loadbalancer/proxy/AttemptGuard.java
@@ -11,10 +11,10 @@
 import loadbalancer.telemetry.RequestTrace;
 
 /**
- * The one guard on what goes to endpoints, asked right before an attempt's first byte. Since it was
- * decided a connection may have taken long to come up, and events may be queued that the engine has
- * not handled yet. It also guards the promises that a rejection makes, whatever the engine decides.
- * Confined to the event loop.
+ * The final check of every attempt, made immediately before its first byte is written. Since the
+ * engine's decision the connection may have taken long to establish, and events may be queued that
+ * the engine has not handled yet. It also checks, whatever the engine decides, that the client may
+ * safely repeat a request that is rejected. Confined to the event loop.
  */
 final class AttemptGuard {
 
@@ -31,12 +31,13 @@
   }
 
   /**
-   * Whether an attempt may be written now; counts why not.
+   * Returns whether an attempt may be written now, and counts the reason if it may not.
    *
-   * @param writeBy clock reading at which its time, or the dedup window of those before it, is over
+   * @param writeDeadline clock reading at which the attempt's time or the dedup window of an
+   *     earlier attempt ends
    */
-  boolean allows(ProxiedRequest request, ProxiedAttempt attempt, long writeBy) {
-    AttemptRefusal refusal = refusal(request, attempt, writeBy);
+  boolean canWrite(ProxiedRequest request, ProxiedAttempt attempt, long writeDeadline) {
+    AttemptRefusal refusal = refusal(request, attempt, writeDeadline);
     if (refusal == null) {
       return true;
     }
@@ -47,30 +48,36 @@
     return false;
   }
 
-  private AttemptRefusal refusal(ProxiedRequest request, ProxiedAttempt attempt, long writeBy) {
-    if (!request.isAwaited()) {
+  private AttemptRefusal refusal(
+      ProxiedRequest request, ProxiedAttempt attempt, long writeDeadline) {
+    if (!request.isClientWaiting()) {
       return AttemptRefusal.CLIENT_GONE;
     }
     if (!directory.isReady(attempt.endpointId())) {
       return AttemptRefusal.ENDPOINT_NOT_READY;
     }
-    if (clock.nowNanos() >= writeBy) {
+    if (clock.nowNanos() >= writeDeadline) {
       return AttemptRefusal.TIME_OVER;
     }
-    boolean runsOnce = request.requestClass().idempotence() == Idempotence.NON_IDEMPOTENT;
-    return runsOnce && request.mayHaveRunBeside(attempt) ? AttemptRefusal.WOULD_RUN_TWICE : null;
+    boolean isNonIdempotent = request.requestClass().idempotence() == Idempotence.NON_IDEMPOTENT;
+    return isNonIdempotent && request.mayHaveRunExcluding(attempt)
+        ? AttemptRefusal.WOULD_RUN_TWICE
+        : null;
   }
 
-  /** Whether a rejection, by which the client may repeat the request, keeps what it promises. */
-  boolean allowsRejection(ProxiedRequest request) {
-    boolean harmful = request.mayHaveRun() && !mayRunAgainAnywhere(request.requestClass());
-    if (harmful) {
+  /**
+   * Returns whether a request may be rejected. The client may send a rejected request again to any
+   * endpoint, so it must not have run or must be safe to run twice. Logs a violation otherwise.
+   */
+  boolean canReject(ProxiedRequest request) {
+    boolean couldRunTwice = request.mayHaveRun() && !canRepeatAnywhere(request.requestClass());
+    if (couldRunTwice) {
       reportViolation("rejected_though_it_may_have_run", request);
     }
-    return !harmful;
+    return !couldRunTwice;
   }
 
-  private static boolean mayRunAgainAnywhere(RequestClass requestClass) {
+  private static boolean canRepeatAnywhere(RequestClass requestClass) {
     return switch (requestClass.idempotence()) {
       case IDEMPOTENT -> true;
       case IDEMPOTENCY_KEY -> requestClass.dedupScope() == DedupScope.ALL;
@@ -78,7 +85,10 @@
     };
   }
 
-  /** The engine wanted to break a rule: a defect, which has been prevented. */
+  /**
+   * Logs a decision of the engine that would have broken an invariant and was not carried out. This
+   * is a defect of the engine.
+   */
   private static void reportViolation(String rule, ProxiedRequest request) {
     LOG.severe(
         "invariant_violated rule="
--- a/src/main/java/loadbalancer/proxy/AttemptRunner.java
+++ b/src/main/java/loadbalancer/proxy/AttemptRunner.java
@@ -29,9 +29,10 @@
   private final RequestTrace trace;
 
   /**
-   * Makes a runner without attempts.
+   * Creates a runner without attempts.
    *
-   * @param maxAttempts attempts of one request, the first included; what goes beyond is not sent
+   * @param maxAttempts maximum number of attempts of one request, including the first; further ones
+   *     are not sent
    */
   AttemptRunner(
       MonotonicClock clock,
@@ -56,22 +57,26 @@
     this.trace = trace;
   }
 
-  /** Starts an attempt; exactly one {@link AttemptEnded} follows while the request is in flight. */
+  /**
+   * Starts an attempt. Exactly one {@link AttemptEnded} event follows, unless the engine is
+   * replaced before.
+   */
   void start(ProxiedRequest request, StartAttempt action) {
     long now = clock.nowNanos();
     long endpointId = action.endpointId();
     ProxiedAttempt attempt = new ProxiedAttempt(request.attempts().size(), now);
-    long left = request.deadlineNanos() - now;
-    long timeout = action.timeoutNanos() == 0 ? left : Math.min(left, action.timeoutNanos());
-    long endsAt = now + timeout;
-    // Computed before this attempt is added: the window of the attempts before it counts.
-    long writeBy = Math.min(endsAt, request.repeatDeadlineNanos());
+    long remaining = request.deadlineNanos() - now;
+    long timeout =
+        action.timeoutNanos() == 0 ? remaining : Math.min(remaining, action.timeoutNanos());
+    long attemptDeadline = now + timeout;
+    // Computed before this attempt is added, as only the dedup windows of earlier attempts count.
+    long writeDeadline = Math.min(attemptDeadline, request.dedupDeadlineNanos());
     UpstreamCall call =
         new UpstreamCall(
             endpointId,
-            () -> guard.allows(request, attempt, writeBy),
-            (status, response) -> ended(request, attempt, status, response));
-    attempt.bind(call);
+            () -> guard.canWrite(request, attempt, writeDeadline),
+            (status, response) -> attemptEnded(request, attempt, status, response));
+    attempt.setCall(call);
     request.addAttempt(attempt);
     SocketAddress address = directory.address(endpointId);
     if (timeout <= 0 || attempt.index() >= maxAttempts) {
@@ -84,12 +89,12 @@
           address,
           () ->
               UpstreamRequestFactory.forward(
-                  request.downstream().message(), endsAt - clock.nowNanos()),
+                  request.downstream().message(), attemptDeadline - clock.nowNanos()),
           timeout);
     }
   }
 
-  /** Cancels an attempt; a no-op where it has ended or its request is no longer in flight. */
+  /** Cancels an attempt; a no-op if it has ended or its request is no longer in flight. */
   void cancel(String requestId, int attempt) {
     ProxiedRequest request = requests.find(requestId);
     if (request != null) {
@@ -104,28 +109,28 @@
     }
   }
 
-  private void ended(
+  private void attemptEnded(
       ProxiedRequest request,
       ProxiedAttempt attempt,
       AttemptStatus status,
       FullHttpResponse response) {
-    attempt.end(status, clock.nowNanos());
+    attempt.recordEnd(status, clock.nowNanos());
     trace.attemptEnded(status);
     Map<String, Double> loadReport = loadReports.read(response);
-    // The pool releases its reference when this returns, and the event waits for its turn.
+    // The pool releases its reference when this method returns; the event is delivered later.
     FullHttpResponse retained = status == AttemptStatus.SUCCESS ? response.retain() : null;
-    events.enqueue(new PendingEnd(request, attempt, retained, loadReport));
+    events.enqueue(new PendingAttemptEnd(request, attempt, retained, loadReport));
   }
 
-  /** The end of an attempt, whose turn has not come; holds the response, if one came. */
-  private final class PendingEnd implements EventQueue.Pending {
+  /** The queued end of an attempt. Holds a reference to the response, if there is one. */
+  private final class PendingAttemptEnd implements EventQueue.PendingEvent {
 
     private final ProxiedRequest request;
     private final ProxiedAttempt attempt;
     private final FullHttpResponse response;
     private final Map<String, Double> loadReport;
 
-    PendingEnd(
+    PendingAttemptEnd(
         ProxiedRequest request,
         ProxiedAttempt attempt,
         FullHttpResponse response,
@@ -148,18 +153,19 @@
   }
 
   /**
-   * Gives the client the response that came, if it is the first, and words the attempt's end for
-   * the engine.
+   * Forwards the response to the client unless the request is completed, and returns the attempt's
+   * end as an event for the engine. The request of a half-closed client is completed once no
+   * attempt of it is in flight.
    *
-   * @param response released here; null where none came
-   * @return null where the request is no longer in flight
+   * @param response released here; null if there is none
+   * @return null if the request is no longer in flight
    */
   private Event deliverEnd(
       ProxiedRequest request,
       ProxiedAttempt attempt,
       FullHttpResponse response,
       Map<String, Double> loadReport) {
-    request.attemptDelivered();
+    request.markAttemptEndDelivered();
     if (response != null) {
       if (!request.isCompleted()) {
         completer.respondOk(request, response);
--- a/src/main/java/loadbalancer/proxy/HealthChecker.java
+++ b/src/main/java/loadbalancer/proxy/HealthChecker.java
@@ -15,8 +15,8 @@
 final class HealthChecker {
 
   /**
-   * A check without a response by then has failed: an endpoint that is well responds within a few
-   * milliseconds.
+   * A check without a response within this time has failed; a healthy endpoint responds within a
+   * few milliseconds.
    */
   private static final long TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
 
@@ -39,7 +39,7 @@
     this.events = events;
   }
 
-  /** Checks an endpoint; one {@link HealthCheckResult} follows. */
+  /** Checks an endpoint; one {@link HealthCheckResult} event follows. */
   void check(long endpointId) {
     long startedAt = clock.nowNanos();
     UpstreamCall call =
@@ -47,7 +47,7 @@
             endpointId,
             () -> true,
             (status, response) ->
-                ended(endpointId, status, response, clock.nowNanos() - startedAt));
+                checkEnded(endpointId, status, response, clock.nowNanos() - startedAt));
     SocketAddress address = directory.address(endpointId);
     if (address == null) {
       call.complete(AttemptStatus.CONNECT_FAILED, null);
@@ -56,7 +56,7 @@
     }
   }
 
-  private void ended(
+  private void checkEnded(
       long endpointId, AttemptStatus status, FullHttpResponse response, long latencyNanos) {
     Map<String, Double> loadReport = loadReports.read(response);
     events.enqueue(() -> new HealthCheckResult(endpointId, status, latencyNanos, loadReport));
--- a/src/main/java/loadbalancer/proxy/ServeCommand.java
+++ b/src/main/java/loadbalancer/proxy/ServeCommand.java
@@ -18,18 +18,20 @@
 
   private static final Logger LOG = Logger.getLogger(ServeCommand.class.getName());
 
-  /** One line an entry: time, level, logger, message. */
+  /**
+   * Each entry is a line of time, level and message, followed by the stack trace of an exception.
+   */
   private static final String LOG_FORMAT = "%1$tFT%1$tT.%1$tL %4$s %5$s%6$s%n";
 
   private final Map<String, String> environment;
   private final PrintStream err;
-  private final CompletableFuture<ProxyServer> listening = new CompletableFuture<>();
+  private final CompletableFuture<ProxyServer> listeningServer = new CompletableFuture<>();
 
   /**
-   * Set by whichever comes first, SIGTERM or the listening: a process that is to end before it
-   * listens owes no client anything, and ends at once.
+   * Set by whichever comes first, SIGTERM or the start of listening. A process that gets SIGTERM
+   * before it listens owes no client a response, and ends at once.
    */
-  private final AtomicBoolean decided = new AtomicBoolean();
+  private final AtomicBoolean isOutcomeDecided = new AtomicBoolean();
 
   private ServeCommand(Map<String, String> environment, PrintStream err) {
     this.environment = environment;
@@ -37,10 +39,10 @@
   }
 
   /**
-   * Serves until SIGTERM. SIGHUP has the configuration read again.
+   * Serves until SIGTERM. SIGHUP reloads the configuration.
    *
-   * @param err where a start that fails is reported, in one line
-   * @return the process's exit status: 0 at the end of a graceful shutdown, 1 where the start fails
+   * @param err receives the log, and one line if the start fails
+   * @return the process's exit status: 0 after a graceful shutdown, 1 if the start fails
    */
   public static int run(Map<String, String> environment, PrintStream err) {
     System.setProperty("java.util.logging.SimpleFormatter.format", LOG_FORMAT);
@@ -49,43 +51,44 @@
   }
 
   private int run() {
-    // Handlers, not shutdown hooks: those run beside the one that ends logging, and the exit status
-    // would name the signal. Without a handler SIGHUP ends the process; one that arrives early
-    // waits until the proxy listens.
+    // Signal handlers instead of shutdown hooks: hooks run concurrently with the one that closes
+    // the log, and the exit status would be that of the signal. Without a handler SIGHUP would end
+    // the process; a SIGHUP that arrives early takes effect once the proxy is listening.
     Signal.handle(new Signal("TERM"), signal -> terminate());
     SignalHandler previous =
-        Signal.handle(new Signal("HUP"), signal -> listening.thenAccept(this::reload));
+        Signal.handle(new Signal("HUP"), signal -> listeningServer.thenAccept(this::reload));
     if (previous == SignalHandler.SIG_IGN) {
       watchConfigurationFile();
     }
     try {
       ProxyServer server = ProxyServer.prepare(ConfigurationFile.read(environment));
-      if (!decided.compareAndSet(false, true)) {
+      if (!isOutcomeDecided.compareAndSet(false, true)) {
         return 0;
       }
       server.listen();
-      listening.complete(server);
+      listeningServer.complete(server);
     } catch (IOException | RuntimeException e) {
       err.println("start_failed reason=" + LogValues.quote(BalancerConfig.describeProblem(e)));
       return 1;
     }
-    listening.join().awaitTermination();
+    listeningServer.join().awaitTermination();
     return 0;
   }
 
   private void terminate() {
-    if (decided.compareAndSet(false, true)) {
+    if (isOutcomeDecided.compareAndSet(false, true)) {
       err.println("terminated_before_listening");
       System.exit(0);
     }
-    listening.thenAccept(server -> new Thread(server::shutDownGracefully, "shutdown").start());
+    listeningServer.thenAccept(
+        server -> new Thread(server::shutDownGracefully, "shutdown").start());
   }
 
   private void watchConfigurationFile() {
     String path = environment.get(BalancerConfig.FILE_VARIABLE);
     if (path != null) {
       LOG.warning("sighup_ignored reload=on_file_change");
-      Runnable reload = () -> listening.thenAccept(this::reload);
+      Runnable reload = () -> listeningServer.thenAccept(this::reload);
       new ConfigurationFileWatcher(Path.of(path), reload).start();
     }
   }
--- a/src/test/java/loadbalancer/proxy/AttemptEndOrderTest.java
+++ b/src/test/java/loadbalancer/proxy/AttemptEndOrderTest.java
@@ -33,38 +33,38 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Two ends of an attempt in one turn of the event loop, in each order; and the ends of upstream
+ * Two outcomes of an attempt in one turn of the event loop, in each order, and restarts of upstream
  * processes.
  */
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
 class AttemptEndOrderTest {
 
-  private static final String NOWHERE = "127.0.0.1:1";
+  private static final String UNREACHABLE = "127.0.0.1:1";
   private static final long TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
   private static final long LONG_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(30);
 
-  private final EventLoopStepQueue cues = new EventLoopStepQueue();
+  private final EventLoopStepQueue steps = new EventLoopStepQueue();
 
   /**
-   * An upstream whose connections do as they are told; they have done it when {@link #does}
-   * returns.
+   * An upstream that runs a script on command for each request; the script has run when {@link
+   * #run} returns.
    */
-  private static final class Puppet implements AutoCloseable {
-    private final BlockingQueue<FakeServer.Script> orders = new LinkedBlockingQueue<>();
+  private static final class ControlledUpstream implements AutoCloseable {
+    private final BlockingQueue<FakeServer.Script> scripts = new LinkedBlockingQueue<>();
     private final BlockingQueue<Boolean> done = new LinkedBlockingQueue<>();
     final FakeServer server =
         new FakeServer(
             connection -> {
               while (connection.readRequest() != null) {
-                orders.take().run(connection);
+                scripts.take().run(connection);
                 done.add(true);
               }
             });
 
-    Puppet() throws IOException {}
+    ControlledUpstream() throws IOException {}
 
-    void does(FakeServer.Script order) {
-      orders.add(order);
+    void run(FakeServer.Script script) {
+      scripts.add(script);
       try {
         assertNotNull(done.poll(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS));
       } catch (InterruptedException e) {
@@ -86,8 +86,8 @@
     connection.write(FakeServer.ok("first"));
   }
 
-  /** The two ends of an attempt, in the order of the name, and the status to be reported. */
-  private enum Ends {
+  /** Two outcomes of an attempt in the order in which they occur, and the status to be reported. */
+  private enum OutcomePair {
     CANCEL_THEN_RESPONSE(AttemptStatus.CANCELLED, AttemptEndOrderTest::respond),
     CANCEL_THEN_RESET(AttemptStatus.CANCELLED, FakeServer.Connection::reset),
     RESPONSE_THEN_CANCEL(AttemptStatus.SUCCESS, AttemptEndOrderTest::respond),
@@ -105,59 +105,60 @@
 
     final AttemptStatus status;
 
-    @SuppressWarnings("ImmutableEnumChecker") // A script holds no state.
+    @SuppressWarnings("ImmutableEnumChecker") // Scripts are stateless.
     final FakeServer.Script upstream;
 
-    Ends(AttemptStatus status, FakeServer.Script upstream) {
+    OutcomePair(AttemptStatus status, FakeServer.Script upstream) {
       this.status = status;
       this.upstream = upstream;
     }
 
-    boolean timesOut() {
+    boolean hasTimeout() {
       return name().contains("TIMEOUT");
     }
   }
 
   /**
-   * Adds the steps that bring both ends about in one turn of the loop.
+   * Adds the steps that cause both outcomes in one turn of the event loop.
    *
-   * @param second sends the second cue where there are two
+   * @param secondTrigger sends the second trigger request if there are two
    */
-  private void addCues(Ends ends, Puppet upstream, Client second) {
-    switch (ends) {
+  private void addSteps(OutcomePair outcomes, ControlledUpstream upstream, Client secondTrigger) {
+    switch (outcomes) {
       case CANCEL_THEN_RESPONSE, CANCEL_THEN_RESET ->
-          // Decided while the other end is in the kernel, and not read yet.
-          cues.add(
+          // Cancelled while the response or reset is in the kernel and has not been read.
+          steps.add(
               actions -> {
-                upstream.does(ends.upstream);
+                upstream.run(outcomes.upstream);
                 actions.accept(new CancelAttempt("r0", 0));
               });
       case RESPONSE_THEN_CANCEL, RESET_THEN_CANCEL -> {
-        // Both are read before the engine gets either: the cancellation comes with the second cue.
-        cues.add(
+        // Both are read before the engine handles either; the second trigger cancels the attempt.
+        steps.add(
             actions -> {
-              upstream.does(ends.upstream);
-              write(second, ProxyFixture.get("cue-2", EventLoopStepQueue.TRIGGER_HEADER));
+              upstream.run(outcomes.upstream);
+              write(secondTrigger, ProxyFixture.get("second", EventLoopStepQueue.TRIGGER_HEADER));
             });
-        cues.add(actions -> actions.accept(new CancelAttempt("r0", 0)));
+        steps.add(actions -> actions.accept(new CancelAttempt("r0", 0)));
       }
       case RESPONSE_THEN_TIMEOUT, RESET_THEN_TIMEOUT ->
-          // The time is up as well when the loop goes on, and it reads its sockets first.
-          cues.add(
+          // The timeout has passed too when the loop resumes, but the loop reads its sockets first.
+          steps.add(
               actions -> {
-                upstream.does(ends.upstream);
+                upstream.run(outcomes.upstream);
                 passTimeout();
               });
       case TIMEOUT_THEN_RESPONSE, TIMEOUT_THEN_RESET -> {
-        // The time is up at the second cue, in the same turn and after all sockets have been read.
-        cues.add(
+        // The timeout has passed at the second trigger, in the same turn, after all sockets were
+        // read.
+        steps.add(
             actions -> {
               passTimeout();
-              write(second, ProxyFixture.get("cue-2", EventLoopStepQueue.TRIGGER_HEADER));
+              write(secondTrigger, ProxyFixture.get("second", EventLoopStepQueue.TRIGGER_HEADER));
             });
-        cues.add(actions -> upstream.does(ends.upstream));
+        steps.add(actions -> upstream.run(outcomes.upstream));
       }
-      case RESPONSE_THEN_RESET -> cues.add(actions -> upstream.does(ends.upstream));
+      case RESPONSE_THEN_RESET -> steps.add(actions -> upstream.run(outcomes.upstream));
       default -> throw new IllegalStateException();
     }
   }
@@ -174,50 +175,51 @@
     }
   }
 
-  private static String known(FakeServer upstream) {
+  private static String endpointList(FakeServer upstream) {
     return ProxyFixture.endpointListJson(
         1, true, ProxyFixture.endpointJson("s-1", upstream.address(), "ready"));
   }
 
   @ParameterizedTest
-  @EnumSource(Ends.class)
-  void reportsTheFirstOfTwoEndsOfAnAttempt(Ends ends) throws Exception {
+  @EnumSource(OutcomePair.class)
+  void reportsTheFirstOfTwoEndsOfAnAttempt(OutcomePair outcomes) throws Exception {
     ScriptedEngine engine =
-        cues.engine("s-1", ends.timesOut() ? TIMEOUT_NANOS : LONG_TIMEOUT_NANOS);
-    try (Puppet upstream = new Puppet();
+        steps.engine("s-1", outcomes.hasTimeout() ? TIMEOUT_NANOS : LONG_TIMEOUT_NANOS);
+    try (ControlledUpstream upstream = new ControlledUpstream();
         ProxyFixture proxy =
-            new ProxyFixture(ProxyFixture.config(NOWHERE, known(upstream.server)), engine);
+            new ProxyFixture(
+                ProxyFixture.config(UNREACHABLE, endpointList(upstream.server)), engine);
         Client client = proxy.client();
-        Client cue = proxy.client();
-        Client second = proxy.client()) {
-      addCues(ends, upstream, second);
+        Client trigger = proxy.client();
+        Client secondTrigger = proxy.client()) {
+      addSteps(outcomes, upstream, secondTrigger);
       client.write(ProxyFixture.get("t", ""));
       upstream.awaitRequest();
-      cue.exchange(ProxyFixture.get("cue-1", EventLoopStepQueue.TRIGGER_HEADER));
+      trigger.exchange(ProxyFixture.get("trigger-1", EventLoopStepQueue.TRIGGER_HEADER));
       AttemptEnded first = engine.awaitEvent(AttemptEnded.class);
-      assertEquals(ends.status, first.status());
+      assertEquals(outcomes.status, first.status());
       String response = client.readResponse();
-      boolean succeeds = ends.status == AttemptStatus.SUCCESS;
-      assertTrue(response.startsWith(succeeds ? "HTTP/1.1 200 " : "HTTP/1.1 502 "), response);
-      // And the next request gets its own response, on whatever connection.
+      boolean isSuccess = outcomes.status == AttemptStatus.SUCCESS;
+      assertTrue(response.startsWith(isSuccess ? "HTTP/1.1 200 " : "HTTP/1.1 502 "), response);
+      // The next request gets its own response, on whichever connection.
       client.write(ProxyFixture.get("t2", ""));
       upstream.awaitRequest();
-      upstream.does(connection -> connection.write(FakeServer.ok("second")));
+      upstream.run(connection -> connection.write(FakeServer.ok("second")));
       assertTrue(client.readResponse().endsWith("\r\n\r\nsecond"), "its own response");
       assertNotEquals(
           first.requestId(),
           engine.awaitEvent(AttemptEnded.class).requestId(),
-          "one end reported an attempt");
+          "one end is reported for each attempt");
     }
   }
 
   /**
-   * All of the request has left, and all but a byte was read: it may have run, unlike one that
-   * never connected.
+   * The whole request was sent, and all but its last byte was read: unlike one that never
+   * connected, it may have run.
    */
   @Test
   void reportsAResetBeforeTheLastByteWasReadAsReset() throws Exception {
-    ScriptedEngine engine = cues.engine("s-1", LONG_TIMEOUT_NANOS);
+    ScriptedEngine engine = steps.engine("s-1", LONG_TIMEOUT_NANOS);
     String body = "x".repeat(1000);
     try (FakeServer upstream =
             new FakeServer(
@@ -226,7 +228,7 @@
                   connection.reset();
                 });
         ProxyFixture proxy =
-            new ProxyFixture(ProxyFixture.config(NOWHERE, known(upstream)), engine);
+            new ProxyFixture(ProxyFixture.config(UNREACHABLE, endpointList(upstream)), engine);
         Client client = proxy.client()) {
       String response = client.exchange(ProxyFixture.post("t", "Idempotency-Key: k\r\n", body));
       assertTrue(response.startsWith("HTTP/1.1 502 "));
@@ -236,9 +238,10 @@
   }
 
   /**
-   * An upstream whose first process vanishes after one response: no more comes, not even an end.
+   * Returns an upstream whose first process stops after one response: it sends nothing more and
+   * does not close the connection.
    */
-  private static FakeServer restarting() throws IOException {
+  private static FakeServer restartingUpstream() throws IOException {
     AtomicInteger connections = new AtomicInteger();
     return new FakeServer(
         connection -> {
@@ -252,59 +255,65 @@
   }
 
   /**
-   * Discovery that tells of the upstream's restart.
+   * Returns a discovery that reports the upstream's restart.
    *
-   * @param back the name that it comes back under
-   * @param before what becomes of {@code s-1} first: gone, or ready and restarted
+   * @param newName the upstream's name after the restart
+   * @param firstState state of {@code s-1} in the first update: gone, or ready after a restart
    */
   private static FakeServer discovery(
-      FakeServer upstream, String back, String before, CountDownLatch restarted)
+      FakeServer upstream, String newName, String firstState, CountDownLatch restarted)
       throws IOException {
     return new FakeServer(
         connection -> {
           connection.readRequest();
           restarted.await();
-          String now =
-              ProxyFixture.endpointJson(back, upstream.address(), "ready")
+          String restartedMember =
+              ProxyFixture.endpointJson(newName, upstream.address(), "ready")
                   .replace("\"up_since_ms\":0", "\"up_since_ms\":" + System.currentTimeMillis());
-          String change =
-              before.equals("ready")
-                  ? now
-                  : ProxyFixture.endpointJson("s-1", upstream.address(), before);
+          String firstUpdate =
+              firstState.equals("ready")
+                  ? restartedMember
+                  : ProxyFixture.endpointJson("s-1", upstream.address(), firstState);
           connection.write(
-              DiscoveryMessages.watchResponse(ProxyFixture.endpointListJson(2, false, change)));
-          connection.write(DiscoveryMessages.chunk(ProxyFixture.endpointListJson(3, false, now)));
+              DiscoveryMessages.watchResponse(
+                  ProxyFixture.endpointListJson(2, false, firstUpdate)));
+          connection.write(
+              DiscoveryMessages.chunk(ProxyFixture.endpointListJson(3, false, restartedMember)));
           connection.awaitClose();
         });
   }
 
-  /** Has discovery watched, and starts attempts at {@code s-1} until the restart. */
-  private static ScriptedEngine followingRestart(String back, CountDownLatch restarted) {
+  /**
+   * Returns an engine that watches discovery, and starts attempts at {@code s-1} until the restart
+   * and at the new name after it.
+   */
+  private static ScriptedEngine engineFollowingRestart(String newName, CountDownLatch restarted) {
     return new ScriptedEngine(
         (event, actions) -> {
           if (event instanceof EndpointListUpdate update && update.kind() == UpdateKind.CACHED) {
             actions.accept(new WatchEndpoints(true));
           } else if (event instanceof RequestArrived request) {
-            String endpoint = restarted.getCount() > 0 ? "s-1" : back;
+            String endpoint = restarted.getCount() > 0 ? "s-1" : newName;
             actions.accept(
                 new StartAttempt(request.requestId(), DiscoveryMessages.endpointId(endpoint), 0));
           }
         });
   }
 
-  /** How an upstream comes back at the address of one that was there before. */
+  /** An upstream restarts at the address of the previous one, under the same or another name. */
   @ParameterizedTest
   @CsvSource({"s-1,gone", "s-1,ready", "s-2,gone"})
-  void opensANewConnectionToARestartedUpstream(String back, String before) throws Exception {
+  void opensANewConnectionToARestartedUpstream(String newName, String firstState) throws Exception {
     CountDownLatch restarted = new CountDownLatch(1);
-    ScriptedEngine engine = followingRestart(back, restarted);
-    try (FakeServer upstream = restarting();
-        FakeServer discovery = discovery(upstream, back, before, restarted);
+    ScriptedEngine engine = engineFollowingRestart(newName, restarted);
+    try (FakeServer upstream = restartingUpstream();
+        FakeServer discovery = discovery(upstream, newName, firstState, restarted);
         ProxyFixture proxy =
-            new ProxyFixture(ProxyFixture.config(discovery.address(), known(upstream)), engine);
+            new ProxyFixture(
+                ProxyFixture.config(discovery.address(), endpointList(upstream)), engine);
         Client client = proxy.client()) {
       assertTrue(client.exchange(ProxyFixture.get("t1", "")).endsWith("\r\n\r\nbefore"));
-      EventLoopStepQueue.sleep(50); // The connection has rested long enough to be used again.
+      EventLoopStepQueue.sleep(50); // The connection is reusable by then.
       restarted.countDown();
       for (UpdateKind kind : List.of(UpdateKind.CACHED, UpdateKind.DELTA, UpdateKind.DELTA)) {
         assertEquals(kind, engine.awaitEvent(EndpointListUpdate.class).kind());
--- a/src/test/java/loadbalancer/proxy/BrokenConnectionTest.java
+++ b/src/test/java/loadbalancer/proxy/BrokenConnectionTest.java
@@ -29,23 +29,23 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Connections that break within a response or long after one, and what is lost with them. */
+/** Connections that break during a response or while idle, and the data that is lost with them. */
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
 class BrokenConnectionTest {
 
-  private static final String NOWHERE = "127.0.0.1:1";
-  private static final long LONG = TimeUnit.SECONDS.toNanos(30);
+  private static final String UNREACHABLE = "127.0.0.1:1";
+  private static final long LONG_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(30);
 
-  private static BalancerConfig one(FakeServer upstream) throws IOException {
+  private static BalancerConfig singleEndpointConfig(FakeServer upstream) throws IOException {
     return ProxyFixture.config(
-        NOWHERE,
+        UNREACHABLE,
         ProxyFixture.endpointListJson(
             1, true, ProxyFixture.endpointJson("s-1", upstream.address(), "ready")));
   }
 
   /**
-   * A reset is no end, also of a response without a length: no part of it reaches the client as a
-   * complete response.
+   * A reset does not end a response, not even one without a length: no part of it reaches the
+   * client as a complete response.
    */
   @ParameterizedTest
   @ValueSource(
@@ -56,44 +56,41 @@
         "HTTP/1.1 200 OK~Content-Length: 20~~part",
         "HTTP/1.1 200 OK~Transfer-Encoding: chunked~~4~part~"
       })
-  void doesNotForwardAResponseThatIsResetOnTheWay(String begun) throws Exception {
-    ScriptedEngine engine = new ScriptedEngine(LONG);
-    CountDownLatch read = new CountDownLatch(1);
-    CountDownLatch written = new CountDownLatch(1);
+  void doesNotForwardAResponseThatIsResetOnTheWay(String partialResponse) throws Exception {
+    ScriptedEngine engine = new ScriptedEngine(LONG_TIMEOUT_NANOS);
+    CountDownLatch partialResponseRead = new CountDownLatch(1);
+    CountDownLatch partialResponseWritten = new CountDownLatch(1);
     try (FakeServer upstream =
             new FakeServer(
                 c -> {
                   c.readRequest();
-                  c.write(begun.replace("~", "\r\n"));
-                  written.countDown();
-                  read.await();
+                  c.write(partialResponse.replace("~", "\r\n"));
+                  partialResponseWritten.countDown();
+                  partialResponseRead.await();
                   c.reset();
                 });
-        ProxyFixture proxy = new ProxyFixture(one(upstream), engine);
+        ProxyFixture proxy = new ProxyFixture(singleEndpointConfig(upstream), engine);
         Client client = proxy.client()) {
       client.write(ProxyFixture.get("t", ""));
-      written.await();
+      partialResponseWritten.await();
+      // After two turns of the event loop the proxy has read what the upstream has written.
       for (int i = 0; i < 2; i++) {
         try (Client other = proxy.client()) {
-          other.exchange(
-              "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"); // It has looked at all sockets, and read
-          // what was written.
+          other.exchange("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
         }
       }
-      read.countDown();
-      String answer = client.readResponse();
-      assertTrue(answer.startsWith("HTTP/1.1 502 ") && !answer.contains("part"), answer);
+      partialResponseRead.countDown();
+      String response = client.readResponse();
+      assertTrue(response.startsWith("HTTP/1.1 502 ") && !response.contains("part"), response);
       assertEquals(AttemptStatus.RESET, engine.awaitEvent(AttemptEnded.class).status());
     }
   }
 
-  /**
-   * A connection is reset long after its response: the next request goes out on a new one, once.
-   */
+  /** A connection is reset while idle: the next request is sent once, on a new connection. */
   @Test
   void replacesAConnectionThatWasResetWhileIdle() throws Exception {
-    ScriptedEngine engine = new ScriptedEngine(LONG);
-    CountDownLatch cue = new CountDownLatch(1);
+    ScriptedEngine engine = new ScriptedEngine(LONG_TIMEOUT_NANOS);
+    CountDownLatch resetAllowed = new CountDownLatch(1);
     AtomicInteger connections = new AtomicInteger();
     try (FakeServer upstream =
             new FakeServer(
@@ -104,30 +101,30 @@
                       request = c.readRequest()) {
                     c.write(FakeServer.ok("x"));
                     if (first) {
-                      cue.await();
+                      resetAllowed.await();
                       c.reset();
                       return;
                     }
                   }
                 });
-        ProxyFixture proxy = new ProxyFixture(one(upstream), engine);
+        ProxyFixture proxy = new ProxyFixture(singleEndpointConfig(upstream), engine);
         Client client = proxy.client()) {
       assertTrue(client.exchange(ProxyFixture.get("t1", "")).startsWith("HTTP/1.1 200 "));
-      Thread.sleep(50); // It has rested for long enough to be used again.
-      FakeServer.Connection resting = upstream.connections.take();
-      cue.countDown();
-      assertTrue(resting.awaitScriptEnd());
+      Thread.sleep(50); // The connection is reusable by then.
+      FakeServer.Connection idleConnection = upstream.connections.take();
+      resetAllowed.countDown();
+      assertTrue(idleConnection.awaitScriptEnd());
       assertTrue(client.exchange(ProxyFixture.get("t2", "")).startsWith("HTTP/1.1 200 "));
       for (int i = 0; i < 2; i++) {
         assertEquals(AttemptStatus.SUCCESS, engine.awaitEvent(AttemptEnded.class).status());
       }
-      assertEquals(2, upstream.requests.size(), "each once");
+      assertEquals(2, upstream.requests.size(), "each is sent once");
     }
   }
 
   /**
-   * The kernel holds nothing back, on either side, that would be discarded with a connection that
-   * is reset.
+   * Without TCP_NODELAY the kernel could hold back small writes and discard them when the
+   * connection is reset.
    */
   @Test
   void sendsSmallWritesWithoutDelay() throws Exception {
--- a/src/test/java/loadbalancer/proxy/EventQueueTest.java
+++ b/src/test/java/loadbalancer/proxy/EventQueueTest.java
@@ -9,34 +9,34 @@
 import loadbalancer.decision.api.Event.TimerFired;
 import org.junit.jupiter.api.Test;
 
-/** Events on their way to the decision engine. */
+/** Delivery of events to the decision engine. */
 class EventQueueTest {
 
-  /** An event that notes what becomes of it. */
-  private record Noted(String name, List<String> notes) implements EventQueue.Pending {
+  /** An event that records whether it was delivered or discarded. */
+  private record RecordedEvent(String name, List<String> log) implements EventQueue.PendingEvent {
     @Override
     public Event take() {
-      notes.add(name + " taken");
+      log.add(name + " taken");
       return new TimerFired(name);
     }
 
     @Override
     public void discard() {
-      notes.add(name + " discarded");
+      log.add(name + " discarded");
     }
   }
 
-  /** They may hold responses of endpoints, whose memory is limited. */
+  /** Queued events may hold responses of endpoints in buffers, whose memory is limited. */
   @Test
   void discardsTheEventsThatAFailedEngineHasNotBeenGiven() {
     EmbeddedChannel channel = new EmbeddedChannel();
-    List<String> notes = new ArrayList<>();
+    List<String> log = new ArrayList<>();
     EventQueue queue = new EventQueue(channel.eventLoop());
     queue.deliverTo(event -> queue.startNextGeneration());
-    queue.enqueue(new Noted("first", notes));
-    queue.enqueue(new Noted("second", notes));
-    queue.enqueue(new Noted("third", notes));
+    queue.enqueue(new RecordedEvent("first", log));
+    queue.enqueue(new RecordedEvent("second", log));
+    queue.enqueue(new RecordedEvent("third", log));
     channel.runPendingTasks();
-    assertEquals(List.of("first taken", "second discarded", "third discarded"), notes);
+    assertEquals(List.of("first taken", "second discarded", "third discarded"), log);
   }
 }
--- a/src/test/java/loadbalancer/proxy/FragmentedMessageTest.java
+++ b/src/test/java/loadbalancer/proxy/FragmentedMessageTest.java
@@ -20,17 +20,19 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Messages that arrive in pieces, wherever they are cut, and in all forms that HTTP/1.1 allows. */
+/**
+ * Messages that arrive in fragments, wherever they are split, in the forms that HTTP/1.1 allows.
+ */
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
 class FragmentedMessageTest {
 
-  private static final String NOWHERE = "127.0.0.1:1";
-  private static final long LONG = TimeUnit.SECONDS.toNanos(30);
+  private static final String UNREACHABLE = "127.0.0.1:1";
+  private static final long LONG_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(30);
   private static final String INFORMATIONAL = "HTTP/1.1 100 Continue\r\n\r\n";
 
-  private static BalancerConfig one(FakeServer upstream) throws IOException {
+  private static BalancerConfig singleEndpointConfig(FakeServer upstream) throws IOException {
     return ProxyFixture.config(
-        NOWHERE,
+        UNREACHABLE,
         ProxyFixture.endpointListJson(
             1, true, ProxyFixture.endpointJson("s-1", upstream.address(), "ready")));
   }
@@ -45,8 +47,8 @@
   }
 
   /**
-   * A segment ends an informational response and starts the final one. What followed was taken for
-   * the start of another response, and rejected.
+   * A segment contains the end of an informational response and the start of the final one. The
+   * bytes that follow must not be rejected as the start of another response.
    */
   @ParameterizedTest
   @CsvSource(
@@ -60,32 +62,35 @@
       })
   void servesAResponseThatStartsInTheSegmentOfAnInformationalOne(String first, String rest)
       throws Exception {
-    ScriptedEngine engine = new ScriptedEngine(LONG);
-    CountDownLatch begun = new CountDownLatch(1);
-    CountDownLatch read = new CountDownLatch(1);
+    ScriptedEngine engine = new ScriptedEngine(LONG_TIMEOUT_NANOS);
+    CountDownLatch firstPartWritten = new CountDownLatch(1);
+    CountDownLatch firstPartRead = new CountDownLatch(1);
     try (FakeServer upstream =
             new FakeServer(
                 c -> {
                   c.readRequest();
                   c.write(INFORMATIONAL + first.replace("~", "\r\n"));
-                  begun.countDown();
-                  read.await();
+                  firstPartWritten.countDown();
+                  firstPartRead.await();
                   c.write(rest.replace("~", "\r\n"));
                   c.awaitClose();
                 });
-        ProxyFixture proxy = new ProxyFixture(one(upstream), engine);
+        ProxyFixture proxy = new ProxyFixture(singleEndpointConfig(upstream), engine);
         Client client = proxy.client()) {
       client.write(ProxyFixture.get("t", ""));
-      begun.await();
+      firstPartWritten.await();
       awaitEventLoopTurns(proxy);
-      read.countDown();
-      String answer = client.readResponse();
+      firstPartRead.countDown();
+      String response = client.readResponse();
       assertEquals(AttemptStatus.SUCCESS, engine.awaitEvent(AttemptEnded.class).status());
-      assertTrue(answer.startsWith("HTTP/1.1 200 ") && answer.endsWith("\r\n\r\nok"), answer);
+      assertTrue(response.startsWith("HTTP/1.1 200 ") && response.endsWith("\r\n\r\nok"), response);
     }
   }
 
-  /** The same, and then nothing more: the client waited until its timeout. */
+  /**
+   * Nothing follows that segment: the attempt ends at once, instead of letting the client wait
+   * until its timeout.
+   */
   @ParameterizedTest
   @ValueSource(
       strings = {
@@ -94,7 +99,7 @@
         "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n"
       })
   void resetsAnAttemptWhoseResponseStopsAfterThatSegment(String first) throws Exception {
-    ScriptedEngine engine = new ScriptedEngine(LONG);
+    ScriptedEngine engine = new ScriptedEngine(LONG_TIMEOUT_NANOS);
     try (FakeServer upstream =
             new FakeServer(
                 c -> {
@@ -102,34 +107,34 @@
                   c.write(INFORMATIONAL + first);
                   c.awaitClose();
                 });
-        ProxyFixture proxy = new ProxyFixture(one(upstream), engine);
+        ProxyFixture proxy = new ProxyFixture(singleEndpointConfig(upstream), engine);
         Client client = proxy.client()) {
       assertTrue(client.exchange(ProxyFixture.get("t", "")).startsWith("HTTP/1.1 502 "));
       assertEquals(AttemptStatus.RESET, engine.awaitEvent(AttemptEnded.class).status());
     }
   }
 
-  /** An informational response does not start the time limit of the final one. */
+  /** An informational response does not start the time limit of the final response. */
   @Test
   void waitsForTheFinalResponseAfterAnInformationalOne() throws Exception {
-    ScriptedEngine engine = new ScriptedEngine(LONG);
+    ScriptedEngine engine = new ScriptedEngine(LONG_TIMEOUT_NANOS);
     try (FakeServer upstream =
             new FakeServer(
                 c -> {
                   c.readRequest();
                   c.write(INFORMATIONAL);
-                  Thread.sleep(500); // Longer than an answer may take that has begun.
+                  Thread.sleep(500); // Longer than a response may take once it has begun.
                   c.write(FakeServer.ok("ok"));
                   c.awaitClose();
                 });
-        ProxyFixture proxy = new ProxyFixture(one(upstream), engine);
+        ProxyFixture proxy = new ProxyFixture(singleEndpointConfig(upstream), engine);
         Client client = proxy.client()) {
       assertTrue(client.exchange(ProxyFixture.get("t", "")).endsWith("\r\n\r\nok"));
       assertEquals(AttemptStatus.SUCCESS, engine.awaitEvent(AttemptEnded.class).status());
     }
   }
 
-  /** Every byte is written by itself. */
+  /** Each byte of the response is written separately. */
   @ParameterizedTest
   @ValueSource(
       strings = {
@@ -138,25 +143,25 @@
         "HTTP/1.1 200 OK~Transfer-Encoding: chunked~~2;ext=1~ok~000~Trailer: x~~",
         "HTTP/1.1 100 Continue~~HTTP/1.1 200 OK~Connection: close~Content-Length: 2~~ok"
       })
-  void servesAResponseInSingleBytes(String answer) throws Exception {
-    ScriptedEngine engine = new ScriptedEngine(LONG);
+  void servesAResponseInSingleBytes(String response) throws Exception {
+    ScriptedEngine engine = new ScriptedEngine(LONG_TIMEOUT_NANOS);
     try (FakeServer upstream =
             new FakeServer(
                 c -> {
                   c.readRequest();
-                  for (char each : answer.replace("~", "\r\n").toCharArray()) {
+                  for (char each : response.replace("~", "\r\n").toCharArray()) {
                     c.write(String.valueOf(each));
                   }
                   c.awaitClose();
                 });
-        ProxyFixture proxy = new ProxyFixture(one(upstream), engine);
+        ProxyFixture proxy = new ProxyFixture(singleEndpointConfig(upstream), engine);
         Client client = proxy.client()) {
-      String got = client.exchange(ProxyFixture.get("t", ""));
-      assertTrue(got.startsWith("HTTP/1.1 200 ") && got.endsWith("\r\n\r\nok"), got);
+      String received = client.exchange(ProxyFixture.get("t", ""));
+      assertTrue(received.startsWith("HTTP/1.1 200 ") && received.endsWith("\r\n\r\nok"), received);
     }
   }
 
-  /** A client that writes slowly: its request is forwarded as it was. */
+  /** The client writes each byte separately; its request is forwarded unchanged. */
   @ParameterizedTest
   @ValueSource(
       strings = {
@@ -169,16 +174,20 @@
         ("POST /api HTTP/1.1~x-trace-id:t~X-Qos: keyed~Idempotency-Key: k~" + framed)
             .replace("~", "\r\n");
     try (FakeServer upstream = FakeServer.respondingWith(FakeServer.ok("x"));
-        ProxyFixture proxy = new ProxyFixture(one(upstream), new ScriptedEngine(LONG));
+        ProxyFixture proxy =
+            new ProxyFixture(
+                singleEndpointConfig(upstream), new ScriptedEngine(LONG_TIMEOUT_NANOS));
         Client client = proxy.client()) {
       client.socket.setTcpNoDelay(true);
       for (int i = 0; i < request.length(); i++) {
         client.write(request.substring(i, i + 1));
       }
       assertTrue(client.readResponse().startsWith("HTTP/1.1 200 "));
-      String got = upstream.requests.poll(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS);
-      assertNotNull(got);
-      assertTrue(got.endsWith("\r\n\r\nbody") && got.contains("Idempotency-Key: k\r\n"), got);
+      String received = upstream.requests.poll(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS);
+      assertNotNull(received);
+      assertTrue(
+          received.endsWith("\r\n\r\nbody") && received.contains("Idempotency-Key: k\r\n"),
+          received);
     }
   }
 }
--- a/src/test/java/loadbalancer/proxy/GracefulShutdownTest.java
+++ b/src/test/java/loadbalancer/proxy/GracefulShutdownTest.java
@@ -25,14 +25,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** A proxy shuts down while clients go on sending. */
+/** A proxy shuts down while clients continue to send requests. */
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
 class GracefulShutdownTest {
 
-  private static final String HEALTH = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
+  private static final String HEALTH_REQUEST = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
 
-  /** Makes a request a cue, at which the engine runs a test's step on the event loop. */
-  private static final String CUE = "X-Size-Hint: 7\r\n";
+  /** Header of a trigger request, at which the engine runs the test's step on the event loop. */
+  private static final String TRIGGER_HEADER = "X-Size-Hint: 7\r\n";
 
   private static BalancerConfig config(long deadlineMillis) throws IOException {
     String text =
@@ -53,7 +53,7 @@
 
   private static void awaitEnd(Thread shutdown) throws InterruptedException {
     shutdown.join(TimeUnit.SECONDS.toMillis(ProxyFixture.TIMEOUT_SECONDS));
-    assertTrue(!shutdown.isAlive(), "ends");
+    assertTrue(!shutdown.isAlive(), "terminates");
   }
 
   private static void write(Client client, String text) {
@@ -64,22 +64,22 @@
     }
   }
 
-  /** SIGKILL may come 0.7 s after the longest deadline, counted from SIGTERM. */
+  /** SIGKILL may come at the longest deadline plus 0.7 s, counted from SIGTERM. */
   @Test
   void completesAllRequestsBeforeSigkillMayCome() throws IOException {
     String text =
         ProxyFixture.configText(
             "127.0.0.1:1", ProxyFixture.endpointListJson(1, true), "on_request", 200, 1024, "");
-    Settings brief =
+    Settings shortDeadlines =
         BalancerConfig.parse(text.replace("40000000000", "1940000000"), Map.of()).settings();
-    assertTrue(GracefulShutdown.expiryMillis(brief) < 1940 + 700);
-    Settings usual = BalancerConfig.parse(text, Map.of()).settings();
-    assertTrue(GracefulShutdown.expiryMillis(usual) < 3000 + 700);
+    assertTrue(GracefulShutdown.expiryMillis(shortDeadlines) < 1940 + 700);
+    Settings longDeadlines = BalancerConfig.parse(text, Map.of()).settings();
+    assertTrue(GracefulShutdown.expiryMillis(longDeadlines) < 3000 + 700);
   }
 
   /**
-   * The loop is busy while the request comes, and closes before it reads its sockets again: that
-   * was a reset.
+   * The event loop is busy when the request arrives, and closes idle connections before it reads
+   * its sockets again. Closing the socket with the unread request would reset the connection.
    */
   @Test
   void servesARequestThatIsInTheKernelWhenIdleConnectionsClose() throws Exception {
@@ -90,7 +90,7 @@
             (event, actions) -> {
               if (event instanceof RequestArrived request) {
                 if (request.workHintNanos() > 0) {
-                  write(idle.get(), ProxyFixture.get("crossing", ""));
+                  write(idle.get(), ProxyFixture.get("unread", ""));
                   started.get().server.listener().closeIdleConnections();
                 }
                 actions.accept(new RejectRequest(request.requestId(), 0));
@@ -101,10 +101,11 @@
         Client other = proxy.client()) {
       started.set(proxy);
       idle.set(client);
-      assertNotNull(client.exchange(HEALTH), "open, and then idle");
-      assertTrue(other.exchange(ProxyFixture.get("cue", CUE)).startsWith("HTTP/1.1 429 "));
+      assertNotNull(client.exchange(HEALTH_REQUEST), "open and then idle");
+      assertTrue(
+          other.exchange(ProxyFixture.get("trigger", TRIGGER_HEADER)).startsWith("HTTP/1.1 429 "));
       String response = client.readResponse();
-      assertNotNull(response, "closed over the request");
+      assertNotNull(response, "closed despite an unread request");
       assertTrue(
           response.startsWith("HTTP/1.1 429 ") && response.contains("connection: close\r\n"),
           response);
@@ -112,22 +113,25 @@
     }
   }
 
-  /** What meets a request in one turn of the loop, before that reads its sockets again. */
-  private enum Crossing {
-    /** The listener closes over a connection that the system has accepted, with its request. */
+  /**
+   * An operation in the event loop turn in which a request arrives, before the loop reads its
+   * sockets again.
+   */
+  private enum ConcurrentOperation {
+    /** The listener closes while a connection with a request is in the kernel's queue. */
     LISTENER_CLOSES {
       @Override
-      Client cross(ProxyFixture proxy, Client open) throws IOException {
-        Client accepted = proxy.client().write(ProxyFixture.get("crossing", ""));
+      Client perform(ProxyFixture proxy, Client open) throws IOException {
+        Client accepted = proxy.client().write(ProxyFixture.get("unread", ""));
         proxy.server.listener().stopAccepting();
         return accepted;
       }
     },
-    /** A complete request's connection has no more time to send one. */
+    /** The time for incomplete requests ends while a complete request is unread. */
     INCOMPLETE_REQUESTS_EXPIRE {
       @Override
-      Client cross(ProxyFixture proxy, Client open) throws IOException {
-        open.write(ProxyFixture.get("crossing", ""));
+      Client perform(ProxyFixture proxy, Client open) throws IOException {
+        open.write(ProxyFixture.get("unread", ""));
         proxy.server.listener().expireIncompleteRequests();
         return open;
       }
@@ -137,27 +141,27 @@
      * Runs on the event loop.
      *
      * @param open a client that has not sent anything
-     * @return the client whose request crosses
+     * @return the client whose request is unread
      */
-    abstract Client cross(ProxyFixture proxy, Client open) throws IOException;
+    abstract Client perform(ProxyFixture proxy, Client open) throws IOException;
   }
 
-  /** It was a reset, or an error. */
+  /** The client must get a response instead of a reset or an error for an incomplete request. */
   @ParameterizedTest
-  @EnumSource(Crossing.class)
-  void respondsToARequestThatIsInTheKernel(Crossing crossing) throws Exception {
+  @EnumSource(ConcurrentOperation.class)
+  void respondsToARequestThatIsInTheKernel(ConcurrentOperation operation) throws Exception {
     AtomicReference<ProxyFixture> started = new AtomicReference<>();
     AtomicReference<Client> open = new AtomicReference<>();
-    CompletableFuture<Client> crossed = new CompletableFuture<>();
+    CompletableFuture<Client> requestingClient = new CompletableFuture<>();
     ScriptedEngine engine =
         new ScriptedEngine(
             (event, actions) -> {
               if (event instanceof RequestArrived request) {
                 if (request.workHintNanos() > 0) {
                   try {
-                    crossed.complete(crossing.cross(started.get(), open.get()));
+                    requestingClient.complete(operation.perform(started.get(), open.get()));
                   } catch (IOException e) {
-                    crossed.completeExceptionally(e);
+                    requestingClient.completeExceptionally(e);
                   }
                 }
                 actions.accept(new RejectRequest(request.requestId(), 0));
@@ -168,18 +172,20 @@
         Client other = proxy.client()) {
       started.set(proxy);
       open.set(client);
-      assertTrue(other.exchange(ProxyFixture.get("cue", CUE)).startsWith("HTTP/1.1 429 "));
-      try (Client found = crossed.get(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
-        String response = found.readResponse();
-        assertNotNull(response, "closed over the request");
+      assertTrue(
+          other.exchange(ProxyFixture.get("trigger", TRIGGER_HEADER)).startsWith("HTTP/1.1 429 "));
+      try (Client requesting =
+          requestingClient.get(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
+        String response = requesting.readResponse();
+        assertNotNull(response, "closed despite an unread request");
         assertTrue(response.startsWith("HTTP/1.1 429 "), response);
       }
     }
   }
 
   /**
-   * Held up right before it completes all requests in flight, the loop still does so before the
-   * earliest SIGKILL.
+   * The event loop is blocked right before it completes all requests in flight, and still does so
+   * before the earliest SIGKILL.
    */
   @Test
   void completesAllRequestsBeforeSigkillWhenTheEventLoopIsHeldUp() throws Exception {
@@ -190,7 +196,7 @@
             (event, actions) -> {
               if (event instanceof RequestArrived request && request.workHintNanos() > 0) {
                 try {
-                  Thread.sleep(450); // The time itself is what is tested.
+                  Thread.sleep(450); // The elapsed time is what is tested.
                 } catch (InterruptedException e) {
                   Thread.currentThread().interrupt();
                 }
@@ -200,28 +206,28 @@
         Client busy = proxy.client();
         Client waiting = proxy.client();
         Client late = proxy.client()) {
-      assertNotNull(late.exchange(HEALTH));
-      long from = System.nanoTime();
+      assertNotNull(late.exchange(HEALTH_REQUEST));
+      long startNanos = System.nanoTime();
       Thread shutdown = startShutdown(proxy);
       Thread.sleep(GracefulShutdown.expiryMillis(config.settings()) - 60);
       waiting.write(ProxyFixture.get("held", ""));
-      busy.write(ProxyFixture.get("hold", CUE));
+      busy.write(ProxyFixture.get("hold", TRIGGER_HEADER));
       Thread.sleep(50);
       late.write(ProxyFixture.get("unread", ""));
       for (Client client : List.of(waiting, busy, late)) {
         assertTrue(client.readResponse().startsWith("HTTP/1.1 50"), "a complete response");
       }
       awaitEnd(shutdown);
-      long tookMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - from);
+      long durationMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos);
       assertTrue(
-          tookMillis < deadlineMillis + 700,
-          "SIGKILL comes before the end at " + tookMillis + " ms");
+          durationMillis < deadlineMillis + 700,
+          "SIGKILL comes before the end at " + durationMillis + " ms");
     }
   }
 
   /**
-   * New connections come for up to 0.4 s. Where the longest deadline was 0.3 s the process ended
-   * before that.
+   * Clients open new connections for up to 0.4 s after SIGTERM. The process must not end before
+   * that, even if the longest deadline is 0.3 s.
    */
   @Test
   void acceptsNewConnectionsForAsLongWhereDeadlinesAreShort() throws Exception {
@@ -234,7 +240,7 @@
             });
     try (ProxyFixture proxy = new ProxyFixture(config(300), engine)) {
       Thread shutdown = startShutdown(proxy);
-      Thread.sleep(400); // The time itself is what is tested.
+      Thread.sleep(400); // The elapsed time is what is tested.
       try (Client late = proxy.client()) {
         assertTrue(late.exchange(ProxyFixture.get("t", "")).startsWith("HTTP/1.1 429 "));
       }
@@ -251,23 +257,23 @@
                     "127.0.0.1:1",
                     ProxyFixture.endpointListJson(
                         1, true, ProxyFixture.endpointJson("s-1", upstream.address(), "ready"))));
-        Client old = proxy.client()) {
-      assertTrue(old.exchange(ProxyFixture.get("t1", "")).startsWith("HTTP/1.1 200 "));
+        Client earlier = proxy.client()) {
+      assertTrue(earlier.exchange(ProxyFixture.get("t1", "")).startsWith("HTTP/1.1 200 "));
       Thread shutdown = startShutdown(proxy);
       try (Client late = proxy.client()) {
-        assertTrue(late.exchange(HEALTH).startsWith("HTTP/1.1 503 "), "sends clients elsewhere");
+        assertTrue(late.exchange(HEALTH_REQUEST).startsWith("HTTP/1.1 503 "), "health checks fail");
         assertTrue(late.exchange(ProxyFixture.get("t2", "")).startsWith("HTTP/1.1 200 "));
-        assertNull(late.readResponse(), "and the connection ends");
+        assertNull(late.readResponse(), "the connection closes after its response");
       }
-      assertNull(old.readResponse(), "as does one from before");
+      assertNull(earlier.readResponse(), "an earlier connection closes too");
       shutdown.join(TimeUnit.SECONDS.toMillis(ProxyFixture.TIMEOUT_SECONDS));
-      assertTrue(!shutdown.isAlive(), "ends once no client is left");
+      assertTrue(!shutdown.isAlive(), "terminates once no client is left");
     }
   }
 
   /**
-   * Held to the end: what is in flight fails, what waits behind it is rejected, and half a request
-   * is timed out.
+   * At the expiry, the request in flight fails, the one that waits behind it is rejected, and an
+   * incomplete request is timed out.
    */
   @Test
   void respondsToEverythingBeforeTheEnd() throws Exception {
@@ -278,12 +284,12 @@
       client.write(ProxyFixture.get("t1", "") + ProxyFixture.get("t2", ""));
       assertEquals("r0", engine.awaitEvent(RequestArrived.class).requestId());
       Thread shutdown = startShutdown(proxy);
-      assertNotNull(slow.exchange(HEALTH));
-      // Begun before idle connections are closed, and late enough not to time out by itself.
+      assertNotNull(slow.exchange(HEALTH_REQUEST));
+      // Sent before idle connections are closed, and late enough not to reach its own time limit.
       Thread.sleep(1700);
       slow.write("POST /api HT");
       assertTrue(client.readResponse().startsWith("HTTP/1.1 500 "), "in flight");
-      assertTrue(client.readResponse().startsWith("HTTP/1.1 503 "), "it has not been attempted");
+      assertTrue(client.readResponse().startsWith("HTTP/1.1 503 "), "not attempted");
       assertTrue(slow.readResponse().startsWith("HTTP/1.1 408 "));
       awaitEnd(shutdown);
     }
--- a/src/test/java/loadbalancer/proxy/LargeFleetIT.java
+++ b/src/test/java/loadbalancer/proxy/LargeFleetIT.java
@@ -30,17 +30,18 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The program as it is deployed, at its limits of memory and descriptors, in a large fleet. */
+/** The packaged program in a large fleet, at its limits of memory and descriptors. */
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
 class LargeFleetIT {
 
-  private static final int MANY = 1024;
+  /** The number of endpoints and of instances, and the limit of file descriptors. */
+  private static final int FLEET_SIZE = 1024;
 
   @TempDir Path folder;
   private Process process;
 
   @AfterEach
-  void end() {
+  void destroyProcess() {
     if (process != null) {
       process.destroyForcibly();
     }
@@ -50,7 +51,7 @@
     return Files.readString(folder.resolve("err"));
   }
 
-  /** Starts it by {@code run}; returns the port at which it serves. */
+  /** Starts the program by {@code deploy/run.sh}, and returns the port on which it listens. */
   private int start(String config, int descriptors) throws IOException, InterruptedException {
     Files.writeString(folder.resolve("config"), config);
     File err = folder.resolve("err").toFile();
@@ -71,24 +72,24 @@
     }
   }
 
-  private static String ask(Socket client, String text) throws IOException {
+  private static String exchange(Socket client, String text) throws IOException {
     client.setSoTimeout(ProxyFixture.TIMEOUT_SECONDS * 1000);
     client.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
     return FakeServer.MessageReader.read(client.getInputStream());
   }
 
-  private static String askAnew(int port, String id) throws IOException {
+  private static String exchangeOnNewConnection(int port, String id) throws IOException {
     try (Socket client = new Socket(InetAddress.getLoopbackAddress(), port)) {
-      return ask(client, ProxyFixture.get(id, "Cookie: sid=" + id + "\r\n"));
+      return exchange(client, ProxyFixture.get(id, "Cookie: sid=" + id + "\r\n"));
     }
   }
 
-  /** Of many endpoints only one is ready. */
+  /** Returns a list of many endpoints, of which only one is ready. */
   private static String list(int revision, int ready, String address) {
     return ProxyFixture.endpointListJson(
         revision,
         true,
-        IntStream.range(0, MANY)
+        IntStream.range(0, FLEET_SIZE)
             .mapToObj(
                 i ->
                     ProxyFixture.endpointJson(
@@ -104,17 +105,17 @@
         .replace("}", "\n        }");
   }
 
-  /** The addresses of as many instances. */
+  /** Returns the setting with the addresses of all instances. */
   private static String peers() {
-    return IntStream.range(0, MANY)
+    return IntStream.range(0, FLEET_SIZE)
         .mapToObj(i -> "\"127.0." + i / 250 + "." + (i % 250 + 1) + ":7946\"")
         .collect(Collectors.joining(",", "\"peers\":[", "],"));
   }
 
-  /** By lists that come indented. */
+  /** Discovery's lists are indented over many lines. */
   @Test
   void servesAThousandEndpointsAndInstancesInTheLeastMemory() throws Exception {
-    CountDownLatch moved = new CountDownLatch(1);
+    CountDownLatch listChanged = new CountDownLatch(1);
     try (FakeServer first = FakeServer.respondingWith(FakeServer.ok("first"));
         FakeServer last = FakeServer.respondingWith(FakeServer.ok("last"));
         FakeServer discovery =
@@ -123,50 +124,55 @@
                   c.readRequest();
                   c.write(
                       DiscoveryMessages.watchResponse(
-                          indented(list(42, MANY - 1, last.address()))));
-                  moved.await();
+                          indented(list(42, FLEET_SIZE - 1, last.address()))));
+                  listChanged.await();
                   c.write(DiscoveryMessages.chunk(indented(list(43, 0, first.address()))));
                   c.awaitClose();
                 })) {
       String config =
           ProxyFixture.configText(
                   discovery.address(),
-                  list(41, MANY / 2, "127.0.0.1:1"),
+                  list(41, FLEET_SIZE / 2, "127.0.0.1:1"),
                   "pushed",
                   200,
-                  MANY,
+                  FLEET_SIZE,
                   peers())
               .replace("\"memory_mb\":192", "\"memory_mb\":32")
-              .replace("\"me\":0", "\"me\":" + (MANY - 1) + ",\"group-size\":" + MANY);
-      int port = start(config, MANY);
-      assertTrue(log().contains(" endpoints=" + MANY + " "), log());
-      assertTrue(askAnew(port, "t1").endsWith("\r\n\r\nlast"), "the end of the list");
-      moved.countDown();
-      for (int i = 0; !askAnew(port, "u" + i).endsWith("\r\n\r\nfirst"); i++) {
+              .replace("\"me\":0", "\"me\":" + (FLEET_SIZE - 1) + ",\"group-size\":" + FLEET_SIZE);
+      int port = start(config, FLEET_SIZE);
+      assertTrue(log().contains(" endpoints=" + FLEET_SIZE + " "), log());
+      assertTrue(
+          exchangeOnNewConnection(port, "t1").endsWith("\r\n\r\nlast"),
+          "the last entry of the list");
+      listChanged.countDown();
+      for (int i = 0; !exchangeOnNewConnection(port, "u" + i).endsWith("\r\n\r\nfirst"); i++) {
         Thread.sleep(10);
       }
-      assertEquals(1, discovery.connections.size(), "the watch still stands: " + log());
+      assertEquals(1, discovery.connections.size(), "the watch is still open: " + log());
       assertFalse(log().contains("OutOfMemory"), log());
       assertTrue(process.isAlive(), log());
     }
   }
 
-  /** An upstream that responds once the latch is open. */
-  private static FakeServer respondingAfter(CountDownLatch cue) throws IOException {
+  /** Returns an upstream that responds once the latch has reached zero. */
+  private static FakeServer upstreamRespondingAfter(CountDownLatch responseAllowed)
+      throws IOException {
     return new FakeServer(
         connection -> {
           while (connection.readRequest() != null) {
-            cue.await();
+            responseAllowed.await();
             connection.write(FakeServer.ok("slow"));
           }
         });
   }
 
-  /** Discovery that resets every connection until it is up, and then lists one endpoint. */
-  private static FakeServer discovery(AtomicBoolean up, FakeServer listed) throws IOException {
+  /**
+   * Returns a discovery that resets every connection until it is up, and then lists one endpoint.
+   */
+  private static FakeServer discovery(AtomicBoolean isUp, FakeServer listed) throws IOException {
     return new FakeServer(
         connection -> {
-          if (!up.get()) {
+          if (!isUp.get()) {
             connection.reset();
           }
           connection.readRequest();
@@ -177,7 +183,9 @@
         });
   }
 
-  /** Sends requests to both known endpoints until one of them waits at the slow one. */
+  /**
+   * Sends requests to both known endpoints until one of the requests waits at the slow endpoint.
+   */
   private static List<Socket> openRequests(int port, FakeServer slow)
       throws IOException, InterruptedException {
     List<Socket> open = new ArrayList<>();
@@ -192,17 +200,19 @@
     return open;
   }
 
-  /** Connects more clients than there are descriptors; each gets a response, and stays. */
+  /**
+   * Connects more clients than there are descriptors; each gets a response and does not disconnect.
+   */
   private static void connectIdle(int port, List<Socket> idle) throws IOException {
     for (int i = 0; i < 500; i++) {
       Socket client = new Socket(InetAddress.getLoopbackAddress(), port);
       idle.add(client);
-      String response = ask(client, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
+      String response = exchange(client, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
       assertNotNull(response, "a new client gets its response");
     }
   }
 
-  private static void assertAnswered(List<Socket> open) throws IOException {
+  private static void assertResponses(List<Socket> open) throws IOException {
     for (Socket client : open) {
       client.setSoTimeout(ProxyFixture.TIMEOUT_SECONDS * 1000);
       String response = FakeServer.MessageReader.read(client.getInputStream());
@@ -215,26 +225,26 @@
     }
   }
 
-  private void assertIdle() throws InterruptedException {
+  private void assertLowCpuUse() throws InterruptedException {
     Duration before = process.info().totalCpuDuration().orElseThrow();
-    Thread.sleep(2000); // The time itself is what is tested.
+    Thread.sleep(2000); // The elapsed time is what is tested.
     long usedMillis = process.info().totalCpuDuration().orElseThrow().minus(before).toMillis();
-    assertTrue(usedMillis < 700, "with nothing to do it used " + usedMillis + " ms in 2 s");
+    assertTrue(usedMillis < 700, "used while idle: " + usedMillis + " ms of CPU time in 2 s");
   }
 
   /**
-   * Idle clients fill all that they can while discovery is down. Open requests get their responses,
-   * new ones are served, discovery is found when it is back, and nothing spins.
+   * Idle clients use up the descriptors while discovery is down. Open requests get their responses,
+   * new ones are served, discovery is reached again when it is back, and there is no busy loop.
    */
   @Test
   void servesAndFindsDiscoveryWhenIdleClientsFillTheDescriptors() throws Exception {
-    AtomicBoolean up = new AtomicBoolean();
-    CountDownLatch cue = new CountDownLatch(1);
+    AtomicBoolean isUp = new AtomicBoolean();
+    CountDownLatch responseAllowed = new CountDownLatch(1);
     List<Socket> idle = new ArrayList<>();
-    try (FakeServer slow = respondingAfter(cue);
+    try (FakeServer slow = upstreamRespondingAfter(responseAllowed);
         FakeServer known = FakeServer.respondingWith(FakeServer.ok("known"));
         FakeServer listed = FakeServer.respondingWith(FakeServer.ok("listed"));
-        FakeServer discovery = discovery(up, listed)) {
+        FakeServer discovery = discovery(isUp, listed)) {
       String members =
           ProxyFixture.endpointListJson(
               41,
@@ -245,18 +255,20 @@
           start(ProxyFixture.configText(discovery.address(), members, "pushed", 200, 256, ""), 256);
       List<Socket> open = openRequests(port, slow);
       connectIdle(port, idle);
-      assertTrue(askAnew(port, "while-down").startsWith("HTTP/1.1 "), "and a request a final one");
-      assertIdle();
-      up.set(true);
+      assertTrue(
+          exchangeOnNewConnection(port, "while-down").startsWith("HTTP/1.1 "),
+          "a new request gets a final response");
+      assertLowCpuUse();
+      isUp.set(true);
       while (!log().contains("discovery_recovered")) {
         Thread.sleep(10);
       }
       while (listed.requests.isEmpty()) {
-        askAnew(port, "when-back" + System.nanoTime());
+        exchangeOnNewConnection(port, "when-back" + System.nanoTime());
         Thread.sleep(10);
       }
-      cue.countDown();
-      assertAnswered(open);
+      responseAllowed.countDown();
+      assertResponses(open);
       assertTrue(process.isAlive(), log());
       assertFalse(log().contains("Too many open files"), log());
     } finally {
--- a/src/test/java/loadbalancer/proxy/ProxyTest.java
+++ b/src/test/java/loadbalancer/proxy/ProxyTest.java
@@ -18,22 +18,22 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What clients and upstreams see, over real connections. */
+/** The behavior that clients and upstreams see over real connections. */
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
 class ProxyTest {
 
-  private static final String NOWHERE = "127.0.0.1:1";
-  private static final String HEALTH = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
+  private static final String UNREACHABLE = "127.0.0.1:1";
+  private static final String HEALTH_REQUEST = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
 
-  private static BalancerConfig only(FakeServer upstream) throws IOException {
+  private static BalancerConfig singleEndpointConfig(FakeServer upstream) throws IOException {
     String member = ProxyFixture.endpointJson("s-1", upstream.address(), "ready");
-    return ProxyFixture.config(NOWHERE, ProxyFixture.endpointListJson(1, true, member));
+    return ProxyFixture.config(UNREACHABLE, ProxyFixture.endpointListJson(1, true, member));
   }
 
   @Test
   void forwardsRequestsUnchangedOverReusedConnections() throws Exception {
     try (FakeServer upstream = FakeServer.respondingWith(FakeServer.ok("an answer"));
-        ProxyFixture proxy = new ProxyFixture(only(upstream));
+        ProxyFixture proxy = new ProxyFixture(singleEndpointConfig(upstream));
         Client client = proxy.client()) {
       String response =
           client.exchange(
@@ -47,7 +47,7 @@
       assertTrue(received.contains("X-Trace-Id: t1\r\n") && !received.contains("X-Hop"), received);
       assertTrue(
           received.matches("(?s).*X-Expires-In-Ms: 29\\d{3}\r\n.*"),
-          "says how long it waits: " + received);
+          "says how long the proxy waits: " + received);
       response =
           client.exchange(
               ProxyFixture.post(
@@ -59,8 +59,8 @@
               && received.contains("Idempotency-Key: k2\r\n")
               && received.endsWith("\r\n\r\na body"),
           received);
-      // Connections rest before they are reused: asked often enough, a request comes on one that is
-      // there already.
+      // Connections become reusable after a quiet period: with enough requests, one is sent on an
+      // existing connection.
       for (int before = -1; before != upstream.connections.size(); ) {
         before = upstream.connections.size();
         client.exchange(ProxyFixture.get("again" + before, ""));
@@ -86,7 +86,7 @@
       })
   void respondsToInvalidRequestsAndForwardsNone(String request, int status) throws Exception {
     try (FakeServer upstream = FakeServer.respondingWith(FakeServer.ok("x"));
-        ProxyFixture proxy = new ProxyFixture(only(upstream))) {
+        ProxyFixture proxy = new ProxyFixture(singleEndpointConfig(upstream))) {
       try (Client client = proxy.client()) {
         String response = client.exchange(request.trim().replace("~", "\r\n"));
         assertTrue(response.startsWith("HTTP/1.1 " + status + " "), response);
@@ -104,7 +104,7 @@
   void passesBodiesOfTheLargestSize() throws Exception {
     String body = "b".repeat(HttpProtocol.MAX_BODY_BYTES);
     try (FakeServer upstream = FakeServer.respondingWith(FakeServer.ok(body));
-        ProxyFixture proxy = new ProxyFixture(only(upstream));
+        ProxyFixture proxy = new ProxyFixture(singleEndpointConfig(upstream));
         Client client = proxy.client()) {
       String response = client.exchange(ProxyFixture.post("t", "Idempotency-Key: k\r\n", body));
       assertTrue(response.startsWith("HTTP/1.1 200 ") && response.endsWith("\r\n\r\n" + body));
@@ -115,15 +115,16 @@
   @Test
   void healthSaysWhetherItCanServe() throws Exception {
     try (FakeServer upstream = FakeServer.respondingWith(FakeServer.ok("x"));
-        ProxyFixture proxy = new ProxyFixture(only(upstream));
+        ProxyFixture proxy = new ProxyFixture(singleEndpointConfig(upstream));
         Client client = proxy.client()) {
-      assertTrue(client.exchange(HEALTH).startsWith("HTTP/1.1 200 "));
+      assertTrue(client.exchange(HEALTH_REQUEST).startsWith("HTTP/1.1 200 "));
     }
     BalancerConfig noEndpoints =
-        ProxyFixture.config(NOWHERE, ProxyFixture.endpointListJson(1, true));
+        ProxyFixture.config(UNREACHABLE, ProxyFixture.endpointListJson(1, true));
     try (ProxyFixture proxy = new ProxyFixture(noEndpoints);
         Client client = proxy.client()) {
-      assertTrue(client.exchange(HEALTH).startsWith("HTTP/1.1 503 "), "no endpoint is known");
+      assertTrue(
+          client.exchange(HEALTH_REQUEST).startsWith("HTTP/1.1 503 "), "no endpoint is known");
     }
   }
 
@@ -136,7 +137,8 @@
                 actions.accept(new RejectRequest(request.requestId(), 250_000_001));
               }
             });
-    BalancerConfig config = ProxyFixture.config(NOWHERE, ProxyFixture.endpointListJson(1, true));
+    BalancerConfig config =
+        ProxyFixture.config(UNREACHABLE, ProxyFixture.endpointListJson(1, true));
     try (ProxyFixture proxy = new ProxyFixture(config, engine);
         Client client = proxy.client()) {
       String response = client.exchange(ProxyFixture.get("t", ""));
@@ -158,7 +160,7 @@
                     connection.write(FakeServer.ok(first ? "1" : "2"));
                   }
                 });
-        ProxyFixture proxy = new ProxyFixture(only(upstream));
+        ProxyFixture proxy = new ProxyFixture(singleEndpointConfig(upstream));
         Client client = proxy.client()) {
       client.write(ProxyFixture.get("first", "") + ProxyFixture.get("second", ""));
       assertTrue(client.readResponse().endsWith("\r\n\r\n1"));
--- a/src/test/java/loadbalancer/proxy/ReloadOrderTest.java
+++ b/src/test/java/loadbalancer/proxy/ReloadOrderTest.java
@@ -26,22 +26,22 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A reload and another event in one turn of the event loop, in each order; and a reload while
+ * A reload and another event in one turn of the event loop, in each order, and a reload while
  * discovery is down.
  */
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
 class ReloadOrderTest {
 
-  private static final String NOWHERE = "127.0.0.1:1";
-  private static final String READY = ProxyFixture.endpointJson("s-1", NOWHERE, "ready");
-  private static final String DRAINING = ProxyFixture.endpointJson("s-1", NOWHERE, "draining");
+  private static final String UNREACHABLE = "127.0.0.1:1";
+  private static final String READY = ProxyFixture.endpointJson("s-1", UNREACHABLE, "ready");
+  private static final String DRAINING = ProxyFixture.endpointJson("s-1", UNREACHABLE, "draining");
 
   private static final String OTHER_DRAINING =
-      ProxyFixture.endpointJson("s-2", NOWHERE, "draining");
+      ProxyFixture.endpointJson("s-2", UNREACHABLE, "draining");
 
-  private final EventLoopStepQueue cues = new EventLoopStepQueue();
+  private final EventLoopStepQueue steps = new EventLoopStepQueue();
 
-  private static BalancerConfig pushed(String discovery, String known) throws IOException {
+  private static BalancerConfig config(String discovery, String known) throws IOException {
     return ProxyFixture.config(discovery, known, "pushed", 200, 1024, "");
   }
 
@@ -66,43 +66,44 @@
     }
   }
 
-  /** Both are asked for in one turn of the loop. */
+  /** A reload and a shutdown are requested in one turn of the event loop. */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
   void carriesOutAReloadAndAShutdownInOneTurn(boolean shutdownFirst) throws Exception {
-    ScriptedEngine engine = cues.engine("s-1", TimeUnit.SECONDS.toNanos(30));
-    try (FakeServer fresh = new FakeServer(FakeServer.Connection::awaitClose);
+    ScriptedEngine engine = steps.engine("s-1", TimeUnit.SECONDS.toNanos(30));
+    try (FakeServer newAgent = new FakeServer(FakeServer.Connection::awaitClose);
         ProxyFixture proxy =
-            new ProxyFixture(pushed(NOWHERE, ProxyFixture.endpointListJson(1, true)), engine);
-        Client cue = proxy.client();
+            new ProxyFixture(config(UNREACHABLE, ProxyFixture.endpointListJson(1, true)), engine);
+        Client trigger = proxy.client();
         Client other = proxy.client()) {
       Thread shutdown = new Thread(proxy.server::shutDownGracefully);
-      cues.add(
+      steps.add(
           actions -> {
             if (shutdownFirst) {
               shutdown.start();
-              EventLoopStepQueue.sleep(100); // It waits for the loop by then.
+              EventLoopStepQueue.sleep(100); // It waits for the event loop by then.
             }
-            reload(proxy, fresh);
+            reload(proxy, newAgent);
             if (!shutdownFirst) {
               shutdown.start();
               EventLoopStepQueue.sleep(100);
             }
           });
-      String cueResponse = cue.exchange(ProxyFixture.get("cue", EventLoopStepQueue.TRIGGER_HEADER));
-      assertTrue(cueResponse.startsWith("HTTP/1.1 429 "));
+      String response =
+          trigger.exchange(ProxyFixture.get("trigger", EventLoopStepQueue.TRIGGER_HEADER));
+      assertTrue(response.startsWith("HTTP/1.1 429 "));
       assertNotNull(
-          fresh.connections.poll(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS),
-          "discovery is followed");
+          newAgent.connections.poll(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS),
+          "connects to the new discovery");
       String health = other.exchange("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
-      assertTrue(health.startsWith("HTTP/1.1 503 "), "it shuts down");
+      assertTrue(health.startsWith("HTTP/1.1 503 "), "the proxy is shutting down");
       shutdown.join(TimeUnit.SECONDS.toMillis(ProxyFixture.TIMEOUT_SECONDS));
-      assertTrue(!shutdown.isAlive(), "ends");
+      assertTrue(!shutdown.isAlive(), "terminates");
     }
   }
 
-  /** Discovery that sends one list to every watch, and keeps it open. */
-  private static FakeServer watched(String list) throws IOException {
+  /** Returns an agent that sends one list to every watch and keeps the watch open. */
+  private static FakeServer agent(String list) throws IOException {
     return new FakeServer(
         connection -> {
           connection.readRequest();
@@ -112,9 +113,10 @@
   }
 
   /**
-   * Discovery that sends one list and resets the watch at the first latch, then opens the second.
+   * Returns an agent that sends one list, resets the watch when {@code close} reaches zero, and
+   * then counts down {@code closed}.
    */
-  private static FakeServer resetting(CountDownLatch close, CountDownLatch closed)
+  private static FakeServer resettingAgent(CountDownLatch close, CountDownLatch closed)
       throws IOException {
     return new FakeServer(
         connection -> {
@@ -127,44 +129,42 @@
         });
   }
 
-  /** The old discovery ends the watch in the turn of the reload, before or after it. */
+  /** The old discovery resets the watch in the turn of the reload, before or after it. */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void keepsOneWatchWhenTheOldDiscoveryClosesInTheTurnOfTheReload(boolean closedFirst)
-      throws Exception {
+  void keepsOneWatchWhenTheOldAgentClosesInTheTurnOfTheReload(boolean closeFirst) throws Exception {
     CountDownLatch close = new CountDownLatch(1);
     CountDownLatch closed = new CountDownLatch(1);
-    ScriptedEngine engine = cues.engine("s-1", 0);
-    try (FakeServer old = resetting(close, closed);
-        FakeServer fresh = watched(ProxyFixture.endpointListJson(3, true, READY, OTHER_DRAINING));
+    ScriptedEngine engine = steps.engine("s-1", 0);
+    try (FakeServer oldAgent = resettingAgent(close, closed);
+        FakeServer newAgent = agent(ProxyFixture.endpointListJson(3, true, READY, OTHER_DRAINING));
         ProxyFixture proxy =
             new ProxyFixture(
-                pushed(old.address(), ProxyFixture.endpointListJson(1, true, READY)), engine);
-        Client cue = proxy.client();
-        Client second = proxy.client()) {
+                config(oldAgent.address(), ProxyFixture.endpointListJson(1, true, READY)), engine);
+        Client trigger = proxy.client();
+        Client secondTrigger = proxy.client()) {
       assertEquals(UpdateKind.CACHED, engine.awaitEvent(EndpointListUpdate.class).kind());
       assertEquals(UpdateKind.FULL, engine.awaitEvent(EndpointListUpdate.class).kind());
-      cues.add(
+      steps.add(
           actions -> {
-            if (closedFirst) {
+            if (closeFirst) {
               close.countDown();
-              await(closed);
-              // Read with the reset; the reload comes after both.
-              write(second, ProxyFixture.get("cue-2", EventLoopStepQueue.TRIGGER_HEADER));
+              await(closed); // The trigger is read in the turn of the reset, and handled later.
+              write(secondTrigger, ProxyFixture.get("second", EventLoopStepQueue.TRIGGER_HEADER));
             } else {
-              reload(proxy, fresh);
+              reload(proxy, newAgent);
               close.countDown();
               await(closed);
             }
           });
-      if (closedFirst) {
-        cues.add(actions -> reload(proxy, fresh));
+      if (closeFirst) {
+        steps.add(actions -> reload(proxy, newAgent));
       }
-      cue.exchange(ProxyFixture.get("cue-1", EventLoopStepQueue.TRIGGER_HEADER));
+      trigger.exchange(ProxyFixture.get("trigger-1", EventLoopStepQueue.TRIGGER_HEADER));
       EndpointListUpdate update = engine.awaitEvent(EndpointListUpdate.class);
-      assertEquals(2, update.endpoints().size(), "by the new discovery's list");
-      EventLoopStepQueue.sleep(1000); // Longer than the wait before the agent is called again.
-      assertEquals(1, fresh.connections.size(), "one watch at the new address");
+      assertEquals(2, update.endpoints().size(), "from the new discovery's list");
+      EventLoopStepQueue.sleep(1000); // Longer than the longest backoff.
+      assertEquals(1, newAgent.connections.size(), "one watch at the new address");
       assertNull(
           engine.events.stream()
               .filter(event -> event instanceof EndpointListUpdate)
@@ -174,18 +174,18 @@
   }
 
   /**
-   * The new discovery is down at the reload, and back with a drain: it has to be known 4 s after
-   * the signal.
+   * The new discovery is down at the reload, and reports a drain when it is back. The drain has to
+   * be known 4 s after the signal.
    */
   @Test
   void learnsOfDrainsInTimeWhenTheNewDiscoveryIsDownAtTheReload() throws Exception {
     AtomicInteger calls = new AtomicInteger();
-    ScriptedEngine engine = cues.engine("s-1", 0);
-    try (FakeServer old = watched(ProxyFixture.endpointListJson(2, true, READY));
-        FakeServer fresh =
+    ScriptedEngine engine = steps.engine("s-1", 0);
+    try (FakeServer oldAgent = agent(ProxyFixture.endpointListJson(2, true, READY));
+        FakeServer newAgent =
             new FakeServer(
                 connection -> {
-                  // Resets as often as it takes for the longest backoff, then is silent, and only
+                  // Resets until the backoff is at its maximum, then stays silent once, and only
                   // then responds.
                   if (calls.incrementAndGet() <= 5) {
                     connection.reset();
@@ -201,11 +201,12 @@
                 });
         ProxyFixture proxy =
             new ProxyFixture(
-                pushed(old.address(), ProxyFixture.endpointListJson(1, true, READY)), engine)) {
+                config(oldAgent.address(), ProxyFixture.endpointListJson(1, true, READY)),
+                engine)) {
       engine.awaitEvent(EndpointListUpdate.class);
       assertEquals(UpdateKind.FULL, engine.awaitEvent(EndpointListUpdate.class).kind());
       long reloadedAt = System.nanoTime();
-      reload(proxy, fresh);
+      reload(proxy, newAgent);
       EndpointListUpdate update = engine.awaitEvent(EndpointListUpdate.class);
       assertEquals(
           List.of(EndpointState.DRAINING),
--- a/src/test/java/loadbalancer/proxy/ReloadTest.java
+++ b/src/test/java/loadbalancer/proxy/ReloadTest.java
@@ -29,14 +29,13 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * A configuration that is read again while the proxy serves, and endpoint lists that are not to be
- * believed.
+ * Reloads of the configuration while the proxy is running, and endpoint lists that must be ignored.
  */
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
 class ReloadTest {
 
-  private static final String A = ProxyFixture.endpointJson("s-a", "127.0.0.1:1", "ready");
-  private static final String B = ProxyFixture.endpointJson("s-b", "127.0.0.1:2", "ready");
+  private static final String MEMBER_A = ProxyFixture.endpointJson("s-a", "127.0.0.1:1", "ready");
+  private static final String MEMBER_B = ProxyFixture.endpointJson("s-b", "127.0.0.1:2", "ready");
 
   private static FakeServer discovery(String... lines) throws IOException {
     return new FakeServer(
@@ -52,8 +51,8 @@
         });
   }
 
-  /** An engine that has discovery watched. */
-  private static ScriptedEngine watching() {
+  /** Returns an engine that watches discovery. */
+  private static ScriptedEngine watchingEngine() {
     return new ScriptedEngine(
         (event, actions) -> {
           if (event instanceof EndpointListUpdate update && update.kind() == UpdateKind.CACHED) {
@@ -62,39 +61,48 @@
         });
   }
 
-  private static BalancerConfig polled(FakeServer discovery) throws IOException {
-    return ProxyFixture.config(discovery.address(), ProxyFixture.endpointListJson(1, true, A));
+  private static BalancerConfig polledConfig(FakeServer discovery) throws IOException {
+    return ProxyFixture.config(
+        discovery.address(), ProxyFixture.endpointListJson(1, true, MEMBER_A));
   }
 
-  private static BalancerConfig pushed(FakeServer discovery) throws IOException {
+  private static BalancerConfig pushedConfig(FakeServer discovery) throws IOException {
     return ProxyFixture.config(
-        discovery.address(), ProxyFixture.endpointListJson(1, true, A), "pushed", 200, 1024, "");
+        discovery.address(),
+        ProxyFixture.endpointListJson(1, true, MEMBER_A),
+        "pushed",
+        200,
+        1024,
+        "");
   }
 
   @Test
   void followsDiscoveryToItsNewAddressAtOnce() throws Exception {
-    ScriptedEngine engine = watching();
-    try (FakeServer old = discovery(ProxyFixture.endpointListJson(2, true, A));
-        FakeServer fresh = discovery(ProxyFixture.endpointListJson(3, true, A, B));
-        ProxyFixture proxy = new ProxyFixture(polled(old), engine)) {
+    ScriptedEngine engine = watchingEngine();
+    try (FakeServer oldDiscovery = discovery(ProxyFixture.endpointListJson(2, true, MEMBER_A));
+        FakeServer newDiscovery =
+            discovery(ProxyFixture.endpointListJson(3, true, MEMBER_A, MEMBER_B));
+        ProxyFixture proxy = new ProxyFixture(polledConfig(oldDiscovery), engine)) {
       engine.awaitEvent(EndpointListUpdate.class);
       assertEquals(1, engine.awaitEvent(EndpointListUpdate.class).endpoints().size());
-      proxy.server.reload(() -> polled(fresh));
+      proxy.server.reload(() -> polledConfig(newDiscovery));
       EndpointListUpdate update = engine.awaitEvent(EndpointListUpdate.class);
       assertEquals(UpdateKind.FULL, update.kind());
       assertEquals(2, update.endpoints().size());
-      String request = fresh.requests.take();
+      String request = newDiscovery.requests.take();
       assertTrue(request.startsWith("GET /v1/servers?follow=1&since=2 HTTP/1.1\r\n"));
-      assertTrue(old.connections.take().awaitScriptEnd(), "nothing is left at the old address");
+      assertTrue(
+          oldDiscovery.connections.take().awaitScriptEnd(),
+          "the connection to the old address is closed");
     }
   }
 
   /** An invalid file must neither end the proxy nor leave it without discovery. */
   @Test
   void changesNothingWhereTheFileCannotBeRead() throws Exception {
-    ScriptedEngine engine = watching();
-    try (FakeServer discovery = discovery(ProxyFixture.endpointListJson(2, true, A));
-        ProxyFixture proxy = new ProxyFixture(polled(discovery), engine)) {
+    ScriptedEngine engine = watchingEngine();
+    try (FakeServer discovery = discovery(ProxyFixture.endpointListJson(2, true, MEMBER_A));
+        ProxyFixture proxy = new ProxyFixture(polledConfig(discovery), engine)) {
       engine.awaitEvent(EndpointListUpdate.class);
       engine.awaitEvent(EndpointListUpdate.class);
       proxy.server.reload(() -> BalancerConfig.parse("{\"name\":", Map.of()));
@@ -106,45 +114,49 @@
         String health = client.exchange("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
         assertTrue(health.startsWith("HTTP/1.1 200 "));
       }
-      assertEquals(1, discovery.connections.size(), "the watch still stands");
+      assertEquals(1, discovery.connections.size(), "the watch is still open");
     }
   }
 
-  /** Each signal has a thread of its own: the file that was read first must not be applied last. */
+  /**
+   * Each signal is handled on its own thread: the file that was read first must not be applied
+   * last.
+   */
   @Test
   void appliesTheLaterFileOfTwoReloadsAtOnce() throws Exception {
-    try (FakeServer old = new FakeServer(FakeServer.Connection::readRequest);
-        FakeServer next = new FakeServer(FakeServer.Connection::readRequest);
-        FakeServer last = new FakeServer(FakeServer.Connection::readRequest);
+    try (FakeServer oldDiscovery = new FakeServer(FakeServer.Connection::readRequest);
+        FakeServer firstReloaded = new FakeServer(FakeServer.Connection::readRequest);
+        FakeServer lastReloaded = new FakeServer(FakeServer.Connection::readRequest);
         ProxyFixture proxy =
-            new ProxyFixture(pushed(old), new ScriptedEngine((event, actions) -> {}))) {
-      Thread second = new Thread(() -> proxy.server.reload(() -> pushed(last)));
+            new ProxyFixture(
+                pushedConfig(oldDiscovery), new ScriptedEngine((event, actions) -> {}))) {
+      Thread secondReload = new Thread(() -> proxy.server.reload(() -> pushedConfig(lastReloaded)));
       proxy.server.reload(
           () -> {
-            second.start();
-            // The second signal's thread has either applied its file, or waits for this one to be
-            // through.
-            while (second.getState() != Thread.State.BLOCKED
-                && second.getState() != Thread.State.TERMINATED) {
+            secondReload.start();
+            // The second signal's thread has either applied its file, or waits for this reload to
+            // end.
+            while (secondReload.getState() != Thread.State.BLOCKED
+                && secondReload.getState() != Thread.State.TERMINATED) {
               Thread.onSpinWait();
             }
-            return pushed(next);
+            return pushedConfig(firstReloaded);
           });
-      second.join();
-      // Applied last it is watched from here on: its agents end every watch, and each end brings
-      // the next one.
-      last.requests.clear();
-      assertNotNull(last.requests.poll(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS));
+      secondReload.join();
+      // Discovery is now watched at the address in the last file: its agent ends every watch, and
+      // each end causes the next one.
+      lastReloaded.requests.clear();
+      assertNotNull(lastReloaded.requests.poll(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS));
     }
   }
 
-  /** The environment still names what the file named at the process's start. */
+  /** The environment still holds what the file held at the start of the process. */
   @Test
   void prefersTheFileToTheEnvironment() throws Exception {
     String text =
         ProxyFixture.configText(
             "127.0.0.1:8501",
-            ProxyFixture.endpointListJson(1, true, A),
+            ProxyFixture.endpointListJson(1, true, MEMBER_A),
             "on_request",
             200,
             1024,
@@ -156,7 +168,7 @@
     assertEquals("n7", BalancerConfig.parse(unnamed, environment).name());
   }
 
-  /** How many endpoints are known after each of these lists. */
+  /** Returns the number of known endpoints after each of these lists. */
   private static List<Integer> sizes(EndpointList... lists) {
     EndpointDirectory directory = new EndpointDirectory(new MonotonicClock());
     return Arrays.stream(lists)
@@ -178,7 +190,7 @@
     return new EndpointList(revision, complete, members);
   }
 
-  /** Discovery that lags would bring back what has gone. */
+  /** A list from a discovery that lags behind would bring back endpoints that are gone. */
   @Test
   void ignoresAnOlderRevisionOfTheList() {
     assertEquals(
@@ -187,7 +199,9 @@
             list(5, true, "a"), list(4, true, "a", "b"), list(4, false, "c"), list(6, false, "d")));
   }
 
-  /** Discovery that has lost its list would take the service away. */
+  /**
+   * A discovery that has lost its list sends an empty one, which would leave no endpoint to serve.
+   */
   @Test
   void ignoresAnEmptyList() {
     assertEquals(
--- a/src/test/java/loadbalancer/proxy/RemainingTimeTest.java
+++ b/src/test/java/loadbalancer/proxy/RemainingTimeTest.java
@@ -33,30 +33,30 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The timeout that an attempt announces to its upstream: never more than its client still waits
- * when it is written.
+ * The timeout that an attempt announces to its upstream never exceeds the time that the client
+ * still waits when the attempt is written.
  */
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
 class RemainingTimeTest {
 
-  private static final String NOWHERE = "127.0.0.1:1";
-  private static final long LONG = TimeUnit.SECONDS.toNanos(30);
-  private static final Pattern TOLD =
+  private static final String UNREACHABLE = "127.0.0.1:1";
+  private static final long LONG_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(30);
+  private static final Pattern TIMEOUT_HEADER =
       Pattern.compile("X-Expires-In-Ms: (\\d+)\r\n", Pattern.CASE_INSENSITIVE);
 
-  private static long told(String request) {
-    Matcher told = TOLD.matcher(request);
-    assertTrue(told.find(), request);
-    return Long.parseLong(told.group(1));
+  private static long timeoutMillis(String request) {
+    Matcher matcher = TIMEOUT_HEADER.matcher(request);
+    assertTrue(matcher.find(), request);
+    return Long.parseLong(matcher.group(1));
   }
 
-  private static long millisSince(long from) {
-    return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - from);
+  private static long millisSince(long startNanos) {
+    return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos);
   }
 
-  private static BalancerConfig two(String first, String second) throws IOException {
+  private static BalancerConfig config(String first, String second) throws IOException {
     return ProxyFixture.config(
-        NOWHERE,
+        UNREACHABLE,
         ProxyFixture.endpointListJson(
             1,
             true,
@@ -69,12 +69,12 @@
   }
 
   /**
-   * The first attempt, or a further one, waits for its connection; announced was the time that was
-   * left when the attempt was decided.
+   * The first attempt or a further one waits for its connection. The announced timeout must be the
+   * time that is left when the attempt is written, not when it was decided.
    */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void announcesTheTimeLeftWhenAConnectionIsEstablishedLate(boolean further) throws Exception {
+  void announcesTheTimeLeftWhenAConnectionIsEstablishedLate(boolean isRetry) throws Exception {
     ScriptedEngine engine =
         new ScriptedEngine(
             (event, out) -> {
@@ -82,36 +82,33 @@
                 out.accept(
                     new StartAttempt(
                         arrived.requestId(),
-                        DiscoveryMessages.endpointId(further ? "s-1" : "s-2"),
+                        DiscoveryMessages.endpointId(isRetry ? "s-1" : "s-2"),
                         0));
-              } else if (event instanceof AttemptEnded ended && further && ended.attempt() == 0) {
+              } else if (event instanceof AttemptEnded end && isRetry && end.attempt() == 0) {
                 out.accept(
-                    new StartAttempt(ended.requestId(), DiscoveryMessages.endpointId("s-2"), 0));
-              } else if (event instanceof AttemptEnded ended && !ended.isRequestAnswered()) {
-                out.accept(new FailRequest(ended.requestId()));
+                    new StartAttempt(end.requestId(), DiscoveryMessages.endpointId("s-2"), 0));
+              } else if (event instanceof AttemptEnded end && !end.isRequestAnswered()) {
+                out.accept(new FailRequest(end.requestId()));
               }
             });
-    try (FakeServer full =
+    try (FakeServer rejecting =
             FakeServer.respondingWith(
                 "HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n");
         UnresponsiveUpstream late = new UnresponsiveUpstream();
-        ProxyFixture proxy = new ProxyFixture(two(full.address(), late.address()), engine);
+        ProxyFixture proxy = new ProxyFixture(config(rejecting.address(), late.address()), engine);
         Client client = proxy.client()) {
-      long from = System.nanoTime();
+      long startNanos = System.nanoTime();
       client.write(ProxyFixture.get("t", "X-Expires-In-Ms: 30000\r\n"));
       engine.awaitEvent(RequestArrived.class);
-      if (further) {
+      if (isRetry) {
         assertEquals(AttemptStatus.REJECTED, engine.awaitEvent(AttemptEnded.class).status());
       }
-      // The lateness itself is what is tested: the backlog has no room before this is over.
-      Thread.sleep(400);
-      long passed = millisSince(from);
+      Thread.sleep(400); // The backlog is full until then; the delay is what is tested.
+      long elapsed = millisSince(startNanos);
       try (Socket connection = late.accept()) {
-        long told = told(FakeServer.MessageReader.read(connection.getInputStream()));
-        assertTrue(
-            told <= 30_000 - passed,
-            "told " + told + " ms of 30000 when " + passed + " had passed");
-        assertTrue(told > 0, "told " + told);
+        long timeout = timeoutMillis(FakeServer.MessageReader.read(connection.getInputStream()));
+        assertTrue(timeout <= 30_000 - elapsed, "got " + timeout + " after " + elapsed + " ms");
+        assertTrue(timeout > 0, "got " + timeout);
         connection.getOutputStream().write(FakeServer.ok("x").getBytes(StandardCharsets.US_ASCII));
         assertTrue(client.readResponse().startsWith("HTTP/1.1 200 "));
       }
@@ -119,8 +116,8 @@
   }
 
   /**
-   * The event loop is held up until the time of a request is over; its connection is established
-   * meanwhile, and is seen before the timer.
+   * The event loop is blocked until a request's time is over. Its connection is established
+   * meanwhile, which the loop handles before the timer.
    */
   @Test
   void doesNotWriteAnAttemptWhoseTimeIsOverWhenItsConnectionIsEstablished() throws Exception {
@@ -131,10 +128,10 @@
         new ScriptedEngine(
             (event, out) -> {
               if (event instanceof RequestArrived arrived && arrived.workHintNanos() > 0) {
-                long from = System.nanoTime();
+                long startNanos = System.nanoTime();
                 try {
                   accepted.complete(upstream.get().accept());
-                  Thread.sleep(Math.max(0, waitMillis + 100 - millisSince(from)));
+                  Thread.sleep(Math.max(0, waitMillis + 100 - millisSince(startNanos)));
                 } catch (IOException | InterruptedException e) {
                   accepted.completeExceptionally(e);
                 }
@@ -147,7 +144,7 @@
               }
             });
     try (UnresponsiveUpstream late = new UnresponsiveUpstream();
-        ProxyFixture proxy = new ProxyFixture(two(NOWHERE, late.address()), engine);
+        ProxyFixture proxy = new ProxyFixture(config(UNREACHABLE, late.address()), engine);
         Client client = proxy.client();
         Client other = proxy.client()) {
       upstream.set(late);
@@ -163,43 +160,44 @@
   }
 
   /**
-   * Pipelined requests arrive with the first one; each had its whole timeout anew when its turn
-   * came.
+   * Pipelined requests arrive with the first one. The time for which they wait for their turn
+   * counts towards their timeouts.
    */
   @Test
   void countsTheTimeThatPipelinedRequestsWaitForTheirTurn() throws Exception {
-    CountDownLatch cue = new CountDownLatch(1);
+    CountDownLatch responseAllowed = new CountDownLatch(1);
     try (FakeServer upstream =
             new FakeServer(
                 c -> {
                   while (c.readRequest() != null) {
-                    cue.await();
+                    responseAllowed.await();
                     c.write(FakeServer.ok("x"));
                   }
                 });
         ProxyFixture proxy =
-            new ProxyFixture(two(upstream.address(), NOWHERE), new ScriptedEngine(LONG));
+            new ProxyFixture(
+                config(upstream.address(), UNREACHABLE), new ScriptedEngine(LONG_TIMEOUT_NANOS));
         Client client = proxy.client()) {
       client.write(
           ProxyFixture.get("first", "")
               + ProxyFixture.get("brief", "X-Expires-In-Ms: 300\r\n")
               + ProxyFixture.get("patient", "X-Expires-In-Ms: 30000\r\n"));
       assertNotNull(upstream.requests.poll(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS));
-      long from = System.nanoTime(); // All three have come by now: they are one small write.
-      Thread.sleep(400); // The time itself is what is tested.
-      long passed = millisSince(from);
-      cue.countDown();
+      long startNanos = System.nanoTime(); // All three have arrived: they are one small write.
+      Thread.sleep(400); // The elapsed time is what is tested.
+      long elapsed = millisSince(startNanos);
+      responseAllowed.countDown();
       assertTrue(client.readResponse().startsWith("HTTP/1.1 200 "));
-      String brief = client.readResponse();
-      assertTrue(brief.startsWith("HTTP/1.1 50") || brief.startsWith("HTTP/1.1 429 "), brief);
+      String expired = client.readResponse();
+      assertTrue(expired.startsWith("HTTP/1.1 50") || expired.startsWith("HTTP/1.1 429 "), expired);
       assertTrue(client.readResponse().startsWith("HTTP/1.1 200 "));
-      String patient = upstream.requests.take();
+      String forwarded = upstream.requests.take();
       assertTrue(
-          patient.contains("X-Trace-Id: patient\r\n"),
-          "its time was over, and it was sent on: " + patient);
+          forwarded.contains("X-Trace-Id: patient\r\n"),
+          "forwarded after its timeout: " + forwarded);
       assertTrue(
-          told(patient) <= 30_000 - passed,
-          "told " + told(patient) + " ms of 30000 when " + passed + " had passed");
+          timeoutMillis(forwarded) <= 30_000 - elapsed,
+          "got " + timeoutMillis(forwarded) + " after " + elapsed + " ms");
       assertNull(upstream.requests.poll());
     }
   }
--- a/src/test/java/loadbalancer/proxy/RequestDispatcherTest.java
+++ b/src/test/java/loadbalancer/proxy/RequestDispatcherTest.java
@@ -35,10 +35,10 @@
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
 class RequestDispatcherTest {
 
-  private static final String NOWHERE = "127.0.0.1:1";
+  private static final String UNREACHABLE = "127.0.0.1:1";
 
-  private static BalancerConfig noEndpoints() throws IOException {
-    return ProxyFixture.config(NOWHERE, ProxyFixture.endpointListJson(1, true));
+  private static BalancerConfig noEndpointsConfig() throws IOException {
+    return ProxyFixture.config(UNREACHABLE, ProxyFixture.endpointListJson(1, true));
   }
 
   @Test
@@ -50,7 +50,7 @@
                 actions.accept(new FailRequest(request.requestId()));
               }
             });
-    try (ProxyFixture proxy = new ProxyFixture(noEndpoints(), engine);
+    try (ProxyFixture proxy = new ProxyFixture(noEndpointsConfig(), engine);
         Client client = proxy.client()) {
       String response =
           client.exchange(
@@ -77,14 +77,14 @@
   @Test
   void completesARequestThatTheEngineForgetsBeforeItsDeadline() throws Exception {
     ScriptedEngine engine = new ScriptedEngine((event, actions) -> {});
-    try (ProxyFixture proxy = new ProxyFixture(noEndpoints(), engine);
+    try (ProxyFixture proxy = new ProxyFixture(noEndpointsConfig(), engine);
         Client client = proxy.client()) {
       String response = client.exchange(ProxyFixture.get("t", "X-Expires-In-Ms: 300\r\n"));
       assertTrue(response.startsWith("HTTP/1.1 504 "));
       assertEquals(
           engine.awaitEvent(RequestArrived.class).requestId(),
           engine.awaitEvent(ClientDisconnected.class).requestId(),
-          "the engine is told that none is owed any more");
+          "the engine is notified that none is owed any more");
     }
   }
 
@@ -100,7 +100,7 @@
                 actions.accept(new RejectRequest(request.requestId(), 0));
               }
             });
-    try (ProxyFixture proxy = new ProxyFixture(noEndpoints(), engine);
+    try (ProxyFixture proxy = new ProxyFixture(noEndpointsConfig(), engine);
         Client held = proxy.client();
         Client bad = proxy.client()) {
       held.write(ProxyFixture.get("held", ""));
@@ -136,7 +136,7 @@
               + ",";
       BalancerConfig config =
           ProxyFixture.config(
-              NOWHERE, ProxyFixture.endpointListJson(1, true), "on_request", 200, 1024, more);
+              UNREACHABLE, ProxyFixture.endpointListJson(1, true), "on_request", 200, 1024, more);
       try (ProxyFixture proxy = new ProxyFixture(config, engine);
           Client client = proxy.client()) {
         client.write(ProxyFixture.get("t", ""));
@@ -160,18 +160,19 @@
   }
 
   /**
-   * The loop is held up while a request with little time comes: the time is over when it is read.
+   * The event loop is blocked while a request with a short timeout arrives: its time is over when
+   * it is read.
    */
   @Test
   void doesNotForwardARequestThatLayUnreadForItsTime() throws Exception {
-    CountDownLatch held = new CountDownLatch(1);
+    CountDownLatch blocked = new CountDownLatch(1);
     CountDownLatch written = new CountDownLatch(1);
     ScriptedEngine engine =
         new ScriptedEngine(
             (event, actions) -> {
               if (event instanceof RequestArrived request && request.workHintNanos() > 0) {
-                held.countDown();
-                holdUp(written);
+                blocked.countDown();
+                blockEventLoop(written);
                 actions.accept(new RejectRequest(request.requestId(), 0));
               } else if (event instanceof RequestArrived request) {
                 actions.accept(
@@ -184,7 +185,7 @@
         ProxyFixture proxy =
             new ProxyFixture(
                 ProxyFixture.config(
-                    NOWHERE,
+                    UNREACHABLE,
                     ProxyFixture.endpointListJson(
                         1, true, ProxyFixture.endpointJson("s-1", upstream.address(), "ready"))),
                 engine);
@@ -193,7 +194,7 @@
       String health = client.exchange("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
       assertTrue(health.startsWith("HTTP/1.1 200 "));
       other.write(ProxyFixture.get("holds", "X-Size-Hint: 7\r\n"));
-      held.await();
+      blocked.await();
       client.write(ProxyFixture.get("brief", "X-Expires-In-Ms: 300\r\n"));
       written.countDown();
       assertTrue(client.readResponse().startsWith("HTTP/1.1 50"), "too late");
@@ -202,9 +203,10 @@
   }
 
   /**
-   * Holds the loop up for longer than the brief request's time, counted from when that was written.
+   * Blocks the event loop for longer than the request's timeout, counted from when the request was
+   * written.
    */
-  private static void holdUp(CountDownLatch written) {
+  private static void blockEventLoop(CountDownLatch written) {
     try {
       written.await();
       Thread.sleep(500);
