--- a/soak/src/main/c/system_call_faults.c
+++ b/soak/src/main/c/system_call_faults.c
@@ -1,12 +1,14 @@
 /*
- * A library to preload into a process under test. It makes chosen system calls on IPv4 and IPv6
- * sockets fail, return early or be cut short, and shifts the wall clock, as the control file says.
+ * Library to preload into a process under test. It makes selected system calls fail or transfer
+ * fewer bytes than requested, and shifts the wall clock, as the control file specifies.
+ * The creation of sockets, bind, connect, reads and writes are affected only for IPv4 and IPv6.
  *
  * The control file (environment variable FAULT_CONTROL) is mapped into memory, so that the harness
- * changes it while the process runs. Its layout is `struct control`, in the machine's byte order;
- * loadbalancer.soak.FaultControl is the other side of it. Without the variable nothing is changed.
+ * can change it while the process runs. Its layout is `struct control` in native byte order;
+ * loadbalancer.soak.FaultControl writes it. Without the variable, no call is changed.
  *
- * A process under test ends when the thread that started it does: nothing outlives the harness.
+ * A process under test is killed when the thread that started it ends, so that no process outlives
+ * the harness.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -28,26 +30,26 @@
 enum call { CALL_ACCEPT, CALL_SOCKET, CALL_BIND, CALL_CONNECT, CALL_READ, CALL_WRITE, CALL_WAIT, CALLS };
 
 struct rule {
-  _Atomic int32_t remaining;   /* this many further calls fail for certain; -1: all of them */
-  _Atomic int32_t per_million; /* beyond those, so many of a million fail, by the seed */
-  _Atomic int32_t error;       /* errno of a failing call; 0: reads and writes are cut short */
-  _Atomic int32_t bytes;       /* what a call that is cut short reads or writes at most */
-  _Atomic int64_t injected;    /* calls that failed or were cut short so far */
+  _Atomic int32_t remaining;   /* number of further calls that fail; -1: all of them */
+  _Atomic int32_t per_million; /* probability that any other call should_fail, per million */
+  _Atomic int32_t error;       /* errno of a failing call; 0: limit reads and writes instead */
+  _Atomic int32_t bytes;       /* maximum bytes of a limited read or write */
+  _Atomic int64_t injected;    /* number of calls that this rule has affected */
 };
 
 struct control {
   _Atomic int64_t wall_offset_millis; /* added to the wall clock */
-  _Atomic uint64_t random;            /* state of the random numbers, from the seed */
+  _Atomic uint64_t random;            /* state of the random number generator */
   struct rule rules[CALLS];
 };
 
 static struct control *control;
 
-__attribute__((constructor)) static void set_up(void) {
+__attribute__((constructor)) static void initialize(void) {
   prctl(PR_SET_PDEATHSIG, SIGKILL);
   const char *parent = getenv("FAULT_PARENT");
   if (parent != NULL && getppid() != (pid_t)atol(parent)) {
-    _exit(1); /* It has ended before this process asked to be told. */
+    _exit(1); /* The parent ended before the signal was requested. */
   }
   const char *path = getenv("FAULT_CONTROL");
   if (path == NULL) {
@@ -68,7 +70,7 @@
     real = (__typeof__(&name))dlsym(RTLD_NEXT, #name); \
   }
 
-/* A step of the SplitMix64 generator. */
+/* Returns the next output of the SplitMix64 generator. */
 static uint64_t next_random(void) {
   uint64_t z = atomic_fetch_add(&control->random, 0x9e3779b97f4a7c15u) + 0x9e3779b97f4a7c15u;
   z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9u;
@@ -76,8 +78,8 @@
   return z ^ (z >> 31);
 }
 
-/* The rule that the present call is subject to, or NULL where it goes through unchanged. */
-static struct rule *hit(enum call call) {
+/* Returns the rule that applies to this call and counts the call, or NULL if it is unchanged. */
+static struct rule *match_rule(enum call call) {
   if (control == NULL) {
     return NULL;
   }
@@ -102,9 +104,9 @@
   return result == 0 && (domain == AF_INET || domain == AF_INET6);
 }
 
-/* Whether the call is to fail; errno is set then. */
-static int fails(enum call call) {
-  struct rule *rule = hit(call);
+/* Returns whether the call has to fail; sets errno if so. */
+static int should_fail(enum call call) {
+  struct rule *rule = match_rule(call);
   if (rule == NULL) {
     return 0;
   }
@@ -112,12 +114,12 @@
   return 1;
 }
 
-/* How much a read or write may transfer: length, less where it is cut short, -1 where it fails. */
-static ssize_t allowed(enum call call, int fd, size_t length) {
+/* Returns the bytes that a read or write may transfer: at most length, or -1 if it has to fail. */
+static ssize_t allowed_bytes(enum call call, int fd, size_t length) {
   if (control == NULL || !is_internet_socket(fd)) {
     return (ssize_t)length;
   }
-  struct rule *rule = hit(call);
+  struct rule *rule = match_rule(call);
   if (rule == NULL) {
     return (ssize_t)length;
   }
@@ -132,58 +134,58 @@
 
 int accept(int fd, struct sockaddr *address, socklen_t *length) {
   REAL(accept)
-  return fails(CALL_ACCEPT) ? -1 : real(fd, address, length);
+  return should_fail(CALL_ACCEPT) ? -1 : real(fd, address, length);
 }
 
 int accept4(int fd, struct sockaddr *address, socklen_t *length, int flags) {
   REAL(accept4)
-  return fails(CALL_ACCEPT) ? -1 : real(fd, address, length, flags);
+  return should_fail(CALL_ACCEPT) ? -1 : real(fd, address, length, flags);
 }
 
 int socket(int domain, int type, int protocol) {
   REAL(socket)
   int internet = domain == AF_INET || domain == AF_INET6;
-  return internet && fails(CALL_SOCKET) ? -1 : real(domain, type, protocol);
+  return internet && should_fail(CALL_SOCKET) ? -1 : real(domain, type, protocol);
 }
 
 int bind(int fd, const struct sockaddr *address, socklen_t length) {
   REAL(bind)
-  return is_internet_socket(fd) && fails(CALL_BIND) ? -1 : real(fd, address, length);
+  return is_internet_socket(fd) && should_fail(CALL_BIND) ? -1 : real(fd, address, length);
 }
 
 int connect(int fd, const struct sockaddr *address, socklen_t length) {
   REAL(connect)
-  return is_internet_socket(fd) && fails(CALL_CONNECT) ? -1 : real(fd, address, length);
+  return is_internet_socket(fd) && should_fail(CALL_CONNECT) ? -1 : real(fd, address, length);
 }
 
 ssize_t read(int fd, void *buffer, size_t length) {
   REAL(read)
-  ssize_t bytes = allowed(CALL_READ, fd, length);
+  ssize_t bytes = allowed_bytes(CALL_READ, fd, length);
   return bytes < 0 ? -1 : real(fd, buffer, (size_t)bytes);
 }
 
 ssize_t recv(int fd, void *buffer, size_t length, int flags) {
   REAL(recv)
-  ssize_t bytes = allowed(CALL_READ, fd, length);
+  ssize_t bytes = allowed_bytes(CALL_READ, fd, length);
   return bytes < 0 ? -1 : real(fd, buffer, (size_t)bytes, flags);
 }
 
 ssize_t write(int fd, const void *buffer, size_t length) {
   REAL(write)
-  ssize_t bytes = allowed(CALL_WRITE, fd, length);
+  ssize_t bytes = allowed_bytes(CALL_WRITE, fd, length);
   return bytes < 0 ? -1 : real(fd, buffer, (size_t)bytes);
 }
 
 ssize_t send(int fd, const void *buffer, size_t length, int flags) {
   REAL(send)
-  ssize_t bytes = allowed(CALL_WRITE, fd, length);
+  ssize_t bytes = allowed_bytes(CALL_WRITE, fd, length);
   return bytes < 0 ? -1 : real(fd, buffer, (size_t)bytes, flags);
 }
 
 ssize_t writev(int fd, const struct iovec *parts, int count) {
   REAL(writev)
   size_t length = count > 0 ? parts[0].iov_len : 0;
-  ssize_t bytes = allowed(CALL_WRITE, fd, length);
+  ssize_t bytes = allowed_bytes(CALL_WRITE, fd, length);
   if (bytes < 0) {
     return -1;
   }
@@ -194,9 +196,9 @@
   return real(fd, parts, count);
 }
 
-int epoll_wait(int fd, struct epoll_event *events, int most, int timeout) {
+int epoll_wait(int fd, struct epoll_event *events, int max_events, int timeout) {
   REAL(epoll_wait)
-  return fails(CALL_WAIT) ? -1 : real(fd, events, most, timeout);
+  return should_fail(CALL_WAIT) ? -1 : real(fd, events, max_events, timeout);
 }
 
 static int64_t wall_offset_millis(void) {
--- a/soak/src/main/java/loadbalancer/soak/Attempt.java
+++ b/soak/src/main/java/loadbalancer/soak/Attempt.java
@@ -1,16 +1,16 @@
 package loadbalancer.soak;
 
 /**
- * A request that reached an upstream. Times are readings of {@link System#nanoTime()}.
+ * An attempt that reached an upstream. Times are values of {@link System#nanoTime()}.
  *
- * @param traceId as the client sent it
+ * @param traceId the trace id that the client sent
  * @param endpoint the upstream's name
- * @param startedUnixMillis the upstream's incarnation
- * @param firstByteNanos when its first byte came
- * @param lastByteNanos when its last byte came, from which on it counts
- * @param remainingMillis the time that it says is left; -1 where it does not
- * @param ran false where the upstream said that it did not run
- * @param response what the upstream did with it
+ * @param startedUnixMillis the start of the upstream's incarnation
+ * @param firstByteNanos the time at which its first byte arrived
+ * @param lastByteNanos the time at which its last byte arrived, from which the attempt counts
+ * @param remainingMillis the remaining time that it states; -1 if it states none
+ * @param ran false if the upstream responded that the request did not run
+ * @param response the mode in which the upstream handled it
  */
 record Attempt(
     String traceId,
--- a/soak/src/main/java/loadbalancer/soak/AttemptLog.java
+++ b/soak/src/main/java/loadbalancer/soak/AttemptLog.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** All attempts that reached any upstream, by trace id. Safe for use by any thread. */
+/** Log of all attempts that reached an upstream, by trace id. Thread-safe. */
 final class AttemptLog {
 
   private final Map<String, List<Attempt>> attempts = new ConcurrentHashMap<>();
@@ -21,7 +21,7 @@
         });
   }
 
-  /** The attempts of a request, in the order of their last bytes. */
+  /** Returns the attempts of a request, in the order of their last bytes. */
   List<Attempt> of(String traceId) {
     return attempts.getOrDefault(traceId, List.of());
   }
--- a/soak/src/main/java/loadbalancer/soak/BadClient.java
+++ b/soak/src/main/java/loadbalancer/soak/BadClient.java
@@ -5,14 +5,20 @@
 import java.util.concurrent.TimeUnit;
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** A client that sends a part of a request and stays: an error or a close is owed within 3 s. */
+/**
+ * A client that sends part of a request and keeps the connection open. The proxy must respond with
+ * an error or close the connection within 3 s.
+ */
 final class BadClient {
 
   private static final long OWED_MILLIS = 3200;
 
   private BadClient() {}
 
-  /** Visits a proxy, if that accepts connections; returns the violation, if it says nothing. */
+  /**
+   * Sends part of a request to the proxy, if it accepts connections. Returns a violation if the
+   * proxy neither responds nor closes the connection in time.
+   */
   static Optional<Violation> visit(
       ProxyNode proxy, Deployment deployment, UniformRandomProvider random) throws IOException {
     if (!proxy.mayConnect()) {
@@ -26,7 +32,8 @@
         return Optional.empty();
       }
     }
-    String detail = "n" + proxy.index() + " said nothing for " + OWED_MILLIS + " ms";
+    String detail =
+        "n" + proxy.index() + " neither responded nor closed within " + OWED_MILLIS + " ms";
     return Optional.of(new Violation(Violation.Rule.BAD_CLIENT, System.nanoTime(), null, detail));
   }
 }
--- a/soak/src/main/java/loadbalancer/soak/ClientConnection.java
+++ b/soak/src/main/java/loadbalancer/soak/ClientConnection.java
@@ -13,23 +13,23 @@
 import java.util.Locale;
 import java.util.concurrent.TimeUnit;
 
-/** A client's connection to a proxy, on blocking sockets: every byte is the caller's. */
+/** A client's connection to a proxy, on a blocking socket. Callers determine every byte sent. */
 final class ClientConnection implements AutoCloseable {
 
-  /** How the wait for a response ended. */
+  /** The result of waiting for a response. */
   enum End {
-    /** A whole response came. */
+    /** A complete response was received. */
     RESPONSE,
-    /** The connection was closed, or reset, before a whole response. */
+    /** The connection was closed or reset before a complete response. */
     CLOSED,
-    /** Nothing whole came in time. */
+    /** No complete response was received in time. */
     TIMEOUT
   }
 
   /**
-   * What came for a request.
+   * The result of a request.
    *
-   * @param status 0 where no whole response came
+   * @param status the status code; 0 if no complete response was received
    */
   record Response(End end, int status, String body, boolean keepAlive) {}
 
@@ -47,17 +47,17 @@
     in = new BufferedInputStream(socket.getInputStream());
   }
 
-  /** Sends a text as it is. */
+  /** Sends a text unchanged. */
   void write(String text) throws IOException {
     socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
   }
 
-  /** Ends the sending; responses can still be read. */
+  /** Half-closes the connection. Responses can still be read. */
   void shutDownOutput() throws IOException {
     socket.shutdownOutput();
   }
 
-  /** Waits for a response until a reading of {@link System#nanoTime()}. */
+  /** Waits for a response until a value of {@link System#nanoTime()}. */
   Response read(long untilNanos) {
     try {
       String head = readHead(untilNanos);
--- a/soak/src/main/java/loadbalancer/soak/ClientWorker.java
+++ b/soak/src/main/java/loadbalancer/soak/ClientWorker.java
@@ -10,15 +10,15 @@
 import loadbalancer.soak.RequestRecord.Outcome;
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** One client of one proxy: sends requests one after the other, in many manners. */
+/** A client of one proxy. It sends requests one after the other, with randomly chosen behavior. */
 final class ClientWorker implements Runnable {
 
-  /** Clients wait so long beyond the time that they state, to see whether a response is lost. */
+  /** Time that clients wait after the deadline, to tell a late response from a lost one. */
   private static final long PATIENCE_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
 
   private static final long IDLE_MILLIS = 50;
 
-  /** A proxy may close a connection without a request after so long. */
+  /** Time after which a proxy may close an idle connection. */
   private static final long MAY_CLOSE_IDLE_NANOS = TimeUnit.SECONDS.toNanos(2);
 
   private final ProxyNode proxy;
@@ -52,12 +52,12 @@
     meanGapMillis = TimeUnit.SECONDS.toMillis(1) / requestsPerSecond;
   }
 
-  /** The requests that it has sent; to be called after its end. */
+  /** Returns the requests of this client. May be called only after its thread has ended. */
   List<RequestRecord> records() {
     return records;
   }
 
-  /** What broke a promise beside requests. */
+  /** Returns the violations that are not derived from the request records. */
   List<Violation> violations() {
     return violations;
   }
@@ -114,7 +114,7 @@
       reused = false;
       return true;
     } catch (IOException e) {
-      return false; // Not listening: nothing was accepted.
+      return false; // The proxy is not listening, so it has not accepted a request.
     }
   }
 
@@ -164,7 +164,7 @@
     }
   }
 
-  /** Whether the connection was closed between requests, as it may, and this one was not read. */
+  /** Returns whether the proxy closed the connection, as it may, before it read the request. */
   private boolean hasCrossed(RequestRecord record) {
     boolean mayClose =
         proxy.isEnding()
@@ -176,9 +176,9 @@
         && attempts.of(record.traceId).isEmpty();
   }
 
-  /** A close that crosses a request that was not read costs nothing but another connection. */
+  /** Sends a request that was not read again, on another connection. */
   private void sendAgain(RequestRecord record) throws IOException {
-    record.events.add("connection closed under it, sent again");
+    record.events.add("connection closed before the request was read, sent again");
     record.outcome = Outcome.NOT_SENT;
     if (connect()) {
       send(record, false);
@@ -213,7 +213,10 @@
     record.outcome = Outcome.LEFT;
   }
 
-  /** Sends some requests at once; what a close leaves unanswered may be sent again. */
+  /**
+   * Sends several requests at once. Requests after a close of the connection count as lost only if
+   * they have reached an upstream.
+   */
   private void pipeline() throws IOException {
     List<RequestRecord> burst = new ArrayList<>();
     StringBuilder text = new StringBuilder();
@@ -239,10 +242,11 @@
     }
   }
 
-  /** A close that crosses a whole burst has not read any of it. */
+  /** Marks the first request as not sent if the proxy closed the connection before reading it. */
   private void passOverCrossing(List<RequestRecord> burst, RequestRecord record) {
     if (record == burst.get(0) && hasCrossed(record)) {
-      record.events.add("connection closed under the burst, not sent again");
+      record.events.add(
+          "connection closed before the pipelined requests were read, not sent again");
       record.outcome = Outcome.NOT_SENT;
     }
   }
--- a/soak/src/main/java/loadbalancer/soak/Deployment.java
+++ b/soak/src/main/java/loadbalancer/soak/Deployment.java
@@ -7,19 +7,21 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What all proxies of a run have in common, and the settings that say so.
+ * The parameters that all proxies of a run share, from which their settings are generated.
  *
  * @param instances the number of proxies
- * @param kinds the classes of requests
- * @param drainGraceMillis how long after a notification a draining endpoint may still get requests
- * @param slowStartMillis the time after which an endpoint has its whole capacity
- * @param initialCapacity the part of its capacity that an endpoint starts with
- * @param overloadMultiple times its present capacity above which a warming endpoint falls
- * @param overloadWindowMillis the time over which that is measured
- * @param endpointCapacity requests a second that one endpoint can serve
+ * @param kinds the request classes
+ * @param drainGraceMillis the time after a notification within which a draining endpoint may still
+ *     receive requests
+ * @param slowStartMillis the time after its start until an endpoint has its full capacity
+ * @param initialCapacity the fraction of its capacity that an endpoint starts with
+ * @param overloadMultiple the multiple of its current capacity above which a warming endpoint is
+ *     overloaded
+ * @param overloadWindowMillis the window over which the overload is measured
+ * @param endpointCapacity the requests per second that one endpoint can serve
  * @param endpoints the usual number of endpoints
  * @param memoryMebibytes the memory limit of one proxy
- * @param descriptors the limit of open file descriptors of one proxy
+ * @param descriptors the limit on open file descriptors of one proxy
  */
 record Deployment(
     int instances,
@@ -40,7 +42,10 @@
   private static final int MAX_ATTEMPTS = 5;
   private static final int MAX_RETRY_AFTER_MILLIS = 2000;
 
-  /** A few classes of all effects, with deadlines that are short against the length of a run. */
+  /**
+   * Returns a deployment with one request class for each effect. The deadlines are short compared
+   * with the length of a run.
+   */
   static Deployment of(int instances, int endpoints) {
     List<RequestKind> kinds =
         List.of(
@@ -50,7 +55,7 @@
     return new Deployment(instances, kinds, 500, 10_000, 0.1, 2.5, 2000, 40, endpoints, 144, 384);
   }
 
-  /** The same with other endpoints, each with so many requests a second. */
+  /** Returns a copy with another number of endpoints and another capacity of each. */
   Deployment withEndpoints(int count, double capacity) {
     return new Deployment(
         instances,
@@ -66,7 +71,7 @@
         descriptors);
   }
 
-  /** The same with another time of slow start. */
+  /** Returns a copy with another duration of slow start. */
   Deployment withSlowStartMillis(long millis) {
     return new Deployment(
         instances,
@@ -91,11 +96,11 @@
   }
 
   /**
-   * The configuration of one proxy, as the platform words it.
+   * Returns the configuration of one proxy, in the format of its configuration file.
    *
-   * @param index its number, from 0
-   * @param known the endpoint list that it starts with
-   * @param seed of its random numbers
+   * @param index the index of the proxy, from 0
+   * @param known the endpoint list that the proxy starts with
+   * @param seed the seed of the proxy's random numbers
    */
   ObjectNode configuration(
       int index, String listen, String discovery, ObjectNode known, long seed) {
--- a/soak/src/main/java/loadbalancer/soak/DiscoveryAgent.java
+++ b/soak/src/main/java/loadbalancer/soak/DiscoveryAgent.java
@@ -26,8 +26,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The discovery agent on one proxy's machine: it has a version of the endpoint list, and pushes
- * what it gets. Everything runs on one event loop; the public methods are for any thread.
+ * A simulated discovery agent of one proxy. It holds a revision of the endpoint list and pushes new
+ * revisions to the open watches. All state belongs to one event loop; the methods for callers may
+ * be called from any thread.
  */
 final class DiscoveryAgent implements AutoCloseable {
 
@@ -44,7 +45,7 @@
   private boolean down;
   private boolean firstAnswerComplete;
 
-  /** A response that stays open; silent ones get nothing any more. */
+  /** A response that stays open for changes of the list. A silent watch receives nothing more. */
   private static final class Watch {
     private final Channel channel;
     private int sent;
@@ -56,7 +57,7 @@
     }
   }
 
-  /** Starts an agent that has the list of the catalogue's present revision. */
+  /** Starts an agent that has the catalogue's current revision of the list. */
   DiscoveryAgent(EventLoop loop, EndpointCatalogue catalogue) {
     this.loop = loop;
     this.catalogue = catalogue;
@@ -76,12 +77,12 @@
             new RequestHandler());
   }
 
-  /** Where it listens, as host:port. */
+  /** Returns the address that the agent listens on, as host:port. */
   String address() {
     return "127.0.0.1:" + ((InetSocketAddress) server.localAddress()).getPort();
   }
 
-  /** Gets a revision of the list, unless it has a later one, and pushes it. */
+  /** Advances to a revision of the list, unless the agent has a later one, and pushes it. */
   void learn(int newRevision) {
     loop.execute(
         () -> {
@@ -90,7 +91,10 @@
         });
   }
 
-  /** While it is down it says nothing and answers nobody; open watches stay open. */
+  /**
+   * Sets whether the agent is down. While down, it ignores requests and sends nothing; open watches
+   * stay open.
+   */
   void setDown(boolean isDown) {
     loop.execute(
         () -> {
@@ -101,27 +105,33 @@
         });
   }
 
-  /** Waits until so many further calls have come while it was down; they are never answered. */
+  /**
+   * Waits until {@code count} further requests have arrived while the agent was down. They are
+   * never answered.
+   */
   void awaitIgnoredCalls(int count) throws InterruptedException {
     ignoredCalls.acquire(count);
   }
 
-  /** Whether the first answer to a call is the complete list, without draining endpoints. */
+  /**
+   * Sets whether each new watch starts with the complete list without draining endpoints. Otherwise
+   * it starts with the changes since the revision that the proxy states, where they are known.
+   */
   void setFirstAnswerComplete(boolean complete) {
     loop.execute(() -> firstAnswerComplete = complete);
   }
 
-  /** Lets the watches that are open now fall silent for good. */
+  /** Silences the currently open watches permanently. */
   void silenceWatches() {
     loop.execute(() -> watches.forEach(watch -> watch.silent = true));
   }
 
-  /** Resets the watches that are open now. */
+  /** Resets the connections of the currently open watches. */
   void resetWatches() {
     loop.execute(() -> List.copyOf(watches).forEach(watch -> Sockets.reset(watch.channel)));
   }
 
-  /** Takes no new connections; the open ones close after a while. */
+  /** Stops listening at once, and closes the open connections after a time. */
   void retire(long openMillis) {
     server.close();
     loop.schedule(
--- a/soak/src/main/java/loadbalancer/soak/EndpointCatalogue.java
+++ b/soak/src/main/java/loadbalancer/soak/EndpointCatalogue.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** All versions of the endpoint list. Safe for use by any thread. */
+/** All revisions of the endpoint list. Thread-safe. */
 final class EndpointCatalogue {
 
   private static final ObjectMapper JSON = new ObjectMapper();
@@ -16,13 +16,13 @@
 
   private final List<EndpointEntry> changes = new ArrayList<>();
 
-  /** Adds a change; returns the revision of the list that has it. */
+  /** Adds a change and returns the revision of the list that contains it. */
   synchronized int add(EndpointEntry entry) {
     changes.add(entry);
     return revision();
   }
 
-  /** The revision of the empty list. */
+  /** Returns the revision of the empty list. */
   int firstRevision() {
     return FIRST_REVISION;
   }
@@ -31,12 +31,12 @@
     return FIRST_REVISION + changes.size();
   }
 
-  /** The change that made a revision. */
+  /** Returns the change that produced a revision. */
   synchronized EndpointEntry change(int revision) {
     return changes.get(revision - FIRST_REVISION - 1);
   }
 
-  /** The endpoints of a revision that have not gone, by name. */
+  /** Returns the endpoints of a revision that have not been removed, by name. */
   synchronized Map<String, EndpointEntry> at(int revision) {
     Map<String, EndpointEntry> entries = new LinkedHashMap<>();
     for (EndpointEntry entry : changes.subList(0, revision - FIRST_REVISION)) {
@@ -49,7 +49,7 @@
     return entries;
   }
 
-  /** The complete list, of which draining endpoints are no part if they are left out. */
+  /** Returns the complete list of a revision, without draining endpoints if these are omitted. */
   ObjectNode complete(int revision, boolean omitDraining) {
     ObjectNode list = list(revision, true);
     for (EndpointEntry entry : at(revision).values()) {
@@ -60,7 +60,7 @@
     return list;
   }
 
-  /** What has changed from one revision to another. */
+  /** Returns a list of the changes from one revision to another. */
   synchronized ObjectNode changes(int since, int revision) {
     Map<String, EndpointEntry> latest = new LinkedHashMap<>();
     for (EndpointEntry entry :
@@ -72,7 +72,7 @@
     return list;
   }
 
-  /** Whether changes since a revision can be told, rather than the complete list. */
+  /** Returns whether the changes since a revision are known. */
   synchronized boolean knows(int revision) {
     return revision >= FIRST_REVISION && revision <= revision();
   }
--- a/soak/src/main/java/loadbalancer/soak/EndpointEntry.java
+++ b/soak/src/main/java/loadbalancer/soak/EndpointEntry.java
@@ -4,22 +4,22 @@
 import java.util.Locale;
 
 /**
- * An endpoint as discovery lists it.
+ * An entry of the endpoint list.
  *
- * @param id its name, the same for all its incarnations
- * @param address where it listens, as host:port
- * @param phase whether it takes new requests
- * @param startedUnixMillis when this incarnation started; 0 for long ago
+ * @param id the endpoint's name, the same for all its incarnations
+ * @param address the address that it listens on, as host:port
+ * @param phase the phase of its life, which determines whether it takes new requests
+ * @param startedUnixMillis the start of this incarnation; 0 if it started long ago
  */
 record EndpointEntry(String id, String address, Phase phase, long startedUnixMillis) {
 
   /** The phases of an endpoint's life that discovery names. */
   enum Phase {
-    /** Takes requests. */
+    /** It takes requests. */
     READY,
-    /** Finishes what it has. */
+    /** It finishes its requests in flight and takes no new ones. */
     DRAINING,
-    /** Was taken away. */
+    /** It has been removed. */
     GONE
   }
 
--- a/soak/src/main/java/loadbalancer/soak/EndpointFleet.java
+++ b/soak/src/main/java/loadbalancer/soak/EndpointFleet.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.function.IntConsumer;
 
-/** The upstreams of a run, which come and go. Safe for use by any thread. */
+/** The upstreams of a run, which are added, restarted and removed. Thread-safe. */
 final class EndpointFleet implements AutoCloseable {
 
   private static final long LATENCY_MILLIS = 15;
@@ -20,9 +20,9 @@
   private int nextName;
 
   /**
-   * Starts some upstreams that have run for long.
+   * Starts a number of upstreams, which are listed as started long ago.
    *
-   * @param published is told of each new revision of the list
+   * @param published called with each new revision of the list
    */
   EndpointFleet(
       EventLoopGroup group,
@@ -55,7 +55,7 @@
         catalogue.add(new EndpointEntry(upstream.name(), upstream.address(), phase, started)));
   }
 
-  /** Takes one that nothing else happens to; null where too few serve. */
+  /** Removes an upstream from the serving ones and returns it; null if too few are serving. */
   private synchronized StandInUpstream take(int target) {
     if (serving.size() <= all.size() / 2 || serving.size() < 3) {
       return null;
@@ -67,7 +67,7 @@
     serving.add(upstream);
   }
 
-  /** One drains, goes, and another one comes. */
+  /** Drains and removes an upstream, then adds a new one. */
   void release(int target) throws InterruptedException {
     StandInUpstream leaving = take(target);
     if (leaving == null) {
@@ -83,7 +83,7 @@
     add(System.currentTimeMillis());
   }
 
-  /** One dies, and comes back cold. */
+  /** Kills an upstream and restarts it after a time, so that it has to warm up. */
   void restart(int target, long downMillis) throws InterruptedException {
     StandInUpstream upstream = take(target);
     if (upstream != null) {
@@ -97,7 +97,7 @@
     }
   }
 
-  /** One misbehaves for a while. */
+  /** Switches an upstream to a mode for a time. */
   void misbehave(int target, StandInUpstream.Mode mode, long millis) throws InterruptedException {
     StandInUpstream upstream = take(target);
     if (upstream != null) {
--- a/soak/src/main/java/loadbalancer/soak/FaultControl.java
+++ b/soak/src/main/java/loadbalancer/soak/FaultControl.java
@@ -9,8 +9,8 @@
 import java.time.Duration;
 
 /**
- * The control file of the library that fails system calls, mapped into memory: what is set here
- * applies to the running process at once. Its layout is {@code struct control} in {@code
+ * The memory-mapped control file of the library that makes system calls fail. Changes take effect
+ * in the running process immediately. Its layout is {@code struct control} in {@code
  * system_call_faults.c}.
  */
 public final class FaultControl {
@@ -75,7 +75,7 @@
   private final Path file;
   private final MappedByteBuffer memory;
 
-  /** Creates the file; the seed is that of calls that fail by chance. */
+  /** Creates the file. The seed determines which calls {@link #failSome} makes fail. */
   public FaultControl(Path file, long seed) throws IOException {
     this.file = file;
     try (FileChannel channel =
@@ -87,39 +87,39 @@
     memory.putLong(RANDOM_OFFSET, seed);
   }
 
-  /** The file, for the environment of the process. */
+  /** Returns the path of the control file, which the process receives in its environment. */
   Path file() {
     return file;
   }
 
-  /** Fails the next so many calls. */
+  /** Makes the next {@code count} calls fail. */
   public void failNext(Call call, int count, Errno error) {
     set(call, error.value, 0, 0, count);
   }
 
-  /** Fails a part of the calls by chance, until {@link #clear}. */
+  /** Makes a random fraction of the calls fail until {@link #clear}. */
   public void failSome(Call call, int perMillion, Errno error) {
     set(call, error.value, 0, perMillion, 0);
   }
 
-  /** Fails all calls until {@link #clear}. */
+  /** Makes all calls fail until {@link #clear}. */
   public void failAll(Call call, Errno error) {
     set(call, error.value, 0, 0, -1);
   }
 
-  /** Lets reads or writes transfer no more than so many bytes a call, until {@link #clear}. */
+  /** Limits the bytes that each read or write transfers until {@link #clear}. */
   public void cutShort(Call call, int bytes) {
     set(call, 0, bytes, 0, -1);
   }
 
-  /** Lets all further calls go through. */
+  /** Lets all further calls pass unchanged. */
   public void clear(Call call) {
     set(call, 0, 0, 0, 0);
   }
 
   private void set(Call call, int error, int bytes, int perMillion, int remaining) {
     int rule = rule(call);
-    // The count first and last: while the rule changes, none applies.
+    // The count is written first and last, so that no partly written rule applies.
     memory.putInt(rule, 0);
     memory.putInt(rule + PER_MILLION_OFFSET, 0);
     memory.putInt(rule + ERROR_OFFSET, error);
@@ -128,12 +128,12 @@
     memory.putInt(rule, remaining);
   }
 
-  /** The number of calls that have failed or were cut short. */
+  /** Returns the number of calls that the library has made fail or cut short. */
   public long injected(Call call) {
     return memory.getLong(rule(call) + INJECTED_OFFSET);
   }
 
-  /** Shifts the wall clock that the process reads; its monotonic clock runs on. */
+  /** Sets the offset of the wall clock that the process reads. Its monotonic clock is unchanged. */
   public void shiftWallClock(Duration offset) {
     memory.putLong(0, offset.toMillis());
   }
--- a/soak/src/main/java/loadbalancer/soak/FaultLibrary.java
+++ b/soak/src/main/java/loadbalancer/soak/FaultLibrary.java
@@ -5,7 +5,7 @@
 import java.nio.file.Path;
 import java.util.concurrent.TimeUnit;
 
-/** The library that fails system calls, built from its source file. */
+/** Builds the preloaded library that makes system calls fail from its source file. */
 public final class FaultLibrary {
 
   private static final long BUILD_SECONDS = 60;
@@ -15,10 +15,10 @@
   /**
    * Builds the library.
    *
-   * @param proxyHome the folder of the repository
-   * @param folder where the library is put
-   * @return the library, for {@code LD_PRELOAD}
-   * @throws IOException if it cannot be built, with what the compiler said
+   * @param proxyHome the directory of the repository
+   * @param folder the output directory
+   * @return the path of the library, for {@code LD_PRELOAD}
+   * @throws IOException if the build fails; the message contains the compiler's output
    */
   public static Path build(Path proxyHome, Path folder) throws IOException, InterruptedException {
     Path library = folder.resolve("system_call_faults.so").toAbsolutePath();
@@ -39,7 +39,8 @@
             .start();
     if (!compiler.waitFor(BUILD_SECONDS, TimeUnit.SECONDS) || compiler.exitValue() != 0) {
       compiler.destroyForcibly();
-      throw new IOException("cannot build the fault library: " + Files.readString(output));
+      throw new IOException(
+          "cannot build the system call fault library: " + Files.readString(output));
     }
     return library;
   }
--- a/soak/src/main/java/loadbalancer/soak/History.java
+++ b/soak/src/main/java/loadbalancer/soak/History.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** Tells what led to a violation: the request's own way, and what else happened at the time. */
+/** Describes the events that led to a violation: the course of the request and the disruptions. */
 record History(
     List<RequestRecord> requests,
     AttemptLog attempts,
@@ -17,7 +17,7 @@
   private static final long BEFORE_MILLIS = 8000;
   private static final int MAX_LOG_LINES = 60;
 
-  /** The events around a violation, one a line, times in milliseconds from the run's start. */
+  /** Returns the events before a violation, one per line, with times in ms from the run's start. */
   List<String> of(Violation violation) throws IOException {
     List<String> lines = new ArrayList<>();
     for (RequestRecord request : requests) {
@@ -28,7 +28,7 @@
     long at = violation.atNanos() == Long.MAX_VALUE ? Long.MAX_VALUE : millis(violation.atNanos());
     for (Trouble trouble : troubles) {
       if (trouble.atMillis() <= at && trouble.atMillis() > at - BEFORE_MILLIS) {
-        lines.add("trouble " + trouble);
+        lines.add("disruption " + trouble);
       }
     }
     return lines;
@@ -44,7 +44,7 @@
             + request.proxy
             + " incarnation "
             + request.incarnation
-            + (request.firstOnConnection ? ", new connection" : ", kept connection"));
+            + (request.firstOnConnection ? ", new connection" : ", reused connection"));
     lines.add("sent at " + millis(request.sentNanos) + " for " + request.remainingMillis + " ms");
     lines.addAll(request.events);
     for (Attempt attempt : attempts.of(request.traceId)) {
--- a/soak/src/main/java/loadbalancer/soak/InvariantChecker.java
+++ b/soak/src/main/java/loadbalancer/soak/InvariantChecker.java
@@ -11,25 +11,30 @@
 import loadbalancer.soak.RequestRecord.Outcome;
 import loadbalancer.soak.Violation.Rule;
 
-/** Judges a run, once it is over, by what clients sent and got and what reached the upstreams. */
+/**
+ * Checks the invariants after a run, from the requests and responses of the clients and the
+ * attempts that reached the upstreams.
+ */
 final class InvariantChecker {
 
-  /** A final response may come so long after the deadline, and then only earns nothing. */
+  /** A final response that is late by no more than this loses its value but violates no rule. */
   private static final long LATE_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
-  /** Every time limit grows by this on real sockets. */
+  /** Tolerance added to time limits because real sockets delay events. */
   private static final long SOCKET_SLACK_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
-  /** An attempt may begin so long after the client's close. */
+  /** Maximum time between a client's close and the start of an attempt for it. */
   private static final long CLIENT_GONE_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
-  /** An attempt may tell its endpoint so much more than is left. */
+  /** Maximum excess of the remaining time that an attempt states over the actual one. */
   private static final long DEADLINE_SLACK_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
 
-  /** Below this budget chance is allowed more. */
+  /** Budget below which a larger margin for random variation is allowed. */
   private static final int SMALL_BUDGET = 30;
 
-  /** The part of a fall that has to come from proxies that were notified of the start. */
+  /**
+   * Minimum share of an overload that has to come from proxies notified of the endpoint's start.
+   */
   private static final double NOTIFIED_PART = 2.0 / 3;
 
   private final Deployment deployment;
@@ -49,7 +54,7 @@
     this.proxies = proxies;
   }
 
-  /** The violations of these requests, the first one first. */
+  /** Returns the violations of the requests, in the order of their times. */
   List<Violation> check(Collection<RequestRecord> requests) {
     Map<String, RequestRecord> byTrace = new TreeMap<>();
     for (RequestRecord request : requests) {
@@ -185,7 +190,9 @@
     }
   }
 
-  /** What the settings allow in the window that ends with an attempt. */
+  /**
+   * Returns the number of requests that the settings allow in the window ending with an attempt.
+   */
   private double budget(Attempt attempt) {
     long wallOffset = System.currentTimeMillis() - TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
     double ageMillis =
--- a/soak/src/main/java/loadbalancer/soak/LogChecker.java
+++ b/soak/src/main/java/loadbalancer/soak/LogChecker.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.regex.Pattern;
 
-/** Finds the lines in a proxy's log that no healthy proxy writes. */
+/** Searches a proxy's log for lines that indicate a defect of the proxy. */
 final class LogChecker {
 
   private static final Pattern DEFECT =
--- a/soak/src/main/java/loadbalancer/soak/NotificationLog.java
+++ b/soak/src/main/java/loadbalancer/soak/NotificationLog.java
@@ -6,12 +6,12 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * From when on each proxy counts as notified of each change of the endpoint list. Safe for use by
- * any thread.
+ * Log of the times from which each proxy counts as notified of each change of the endpoint list.
+ * Thread-safe.
  */
 final class NotificationLog {
 
-  /** A change that a proxy counts as notified of from a reading of the clock on. */
+  /** A change of the list, with the time from which a proxy counts as notified of it. */
   record Notification(EndpointEntry entry, long fromNanos) {}
 
   private final Map<Integer, List<Notification>> byProxy = new ConcurrentHashMap<>();
@@ -31,8 +31,8 @@
   }
 
   /**
-   * When a proxy counted as notified that an incarnation of an endpoint takes no new requests;
-   * {@link Long#MAX_VALUE} if never.
+   * Returns the time from which a proxy counts as notified that an incarnation of an endpoint takes
+   * no new requests, or {@link Long#MAX_VALUE} if it was not notified.
    */
   long drainedFromNanos(int proxy, String endpoint, long startedUnixMillis) {
     long first = Long.MAX_VALUE;
@@ -47,7 +47,10 @@
     return first;
   }
 
-  /** When a proxy counted as notified of an incarnation's start. */
+  /**
+   * Returns the time from which a proxy counts as notified of the start of an incarnation, or
+   * {@link Long#MAX_VALUE} if it was not notified.
+   */
   long startKnownFromNanos(int proxy, String endpoint, long startedUnixMillis) {
     long first = Long.MAX_VALUE;
     for (Notification notification : of(proxy)) {
--- a/soak/src/main/java/loadbalancer/soak/ProcessUsage.java
+++ b/soak/src/main/java/loadbalancer/soak/ProcessUsage.java
@@ -6,11 +6,11 @@
 import java.util.stream.Stream;
 
 /**
- * What a process has used, as the kernel says.
+ * The resource usage of a process, from {@code /proc}.
  *
- * @param cpuSeconds processor time, in hundredths
- * @param peakMebibytes the most memory that it had at any time
- * @param descriptors open file descriptors at present
+ * @param cpuSeconds the processor time, with a resolution of 0.01 s
+ * @param peakMebibytes the peak resident memory
+ * @param descriptors the number of open file descriptors
  */
 record ProcessUsage(double cpuSeconds, double peakMebibytes, long descriptors) {
 
@@ -23,7 +23,7 @@
   static ProcessUsage of(long pid) throws IOException {
     Path folder = Path.of("/proc", Long.toString(pid));
     String stat = Files.readString(folder.resolve("stat"));
-    // Counted from behind the name, which may hold spaces.
+    // Fields are counted from the end of the process name, which may contain spaces.
     String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ", -1);
     double ticks =
         Long.parseLong(fields[USER_TIME_FIELD]) + Long.parseLong(fields[SYSTEM_TIME_FIELD]);
--- a/soak/src/main/java/loadbalancer/soak/ProxyHistory.java
+++ b/soak/src/main/java/loadbalancer/soak/ProxyHistory.java
@@ -1,11 +1,14 @@
 package loadbalancer.soak;
 
-/** What the platform did to a proxy, as far as it excuses it. Times are readings of nanoTime. */
+/**
+ * The actions of the platform that excuse a proxy from a promise. Times are values of {@link
+ * System#nanoTime()}.
+ */
 interface ProxyHistory {
 
-  /** Whether the platform itself ended a request that was sent and ended at these times. */
+  /** Returns whether a SIGKILL excuses the loss of a request that was sent and ended then. */
   boolean wasKilledUnder(long sentNanos, long endNanos);
 
-  /** Whether the process was held up at some time between two readings of the clock. */
+  /** Returns whether the process was stopped at any time in an interval. */
   boolean wasPaused(long fromNanos, long toNanos);
 }
--- a/soak/src/main/java/loadbalancer/soak/ProxyLife.java
+++ b/soak/src/main/java/loadbalancer/soak/ProxyLife.java
@@ -4,21 +4,25 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** What was done to one proxy, and what it did wrong by itself. Safe for use by any thread. */
+/**
+ * Log of the signals sent to one proxy, through all its incarnations, and of the violations found
+ * in its process. Thread-safe.
+ */
 final class ProxyLife implements ProxyHistory {
 
   /**
-   * A request that comes so long after SIGTERM is owed its response even if SIGKILL comes first.
+   * A request that is sent later than this after SIGTERM must be answered even if the SIGKILL that
+   * follows the SIGTERM comes first.
    */
   private static final long OWED_AFTER_TERM_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
 
-  /** SIGKILL may be carried out so much later than it is due. */
+  /** Maximum delay of SIGKILL beyond the time at which it is due. */
   private static final long KILL_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
-  /** A client may look at its clock so long after it has written. */
+  /** Maximum delay between a client's write of a request and its reading of the clock. */
   private static final long CLOCK_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
-  /** A span of time in readings of {@link System#nanoTime()}. */
+  /** A time interval between two values of {@link System#nanoTime()}. */
   record Span(long fromNanos, long toNanos) {
     boolean overlaps(long from, long to) {
       return from <= toNanos && to >= fromNanos;
@@ -33,9 +37,9 @@
   private final List<Violation> violations = new ArrayList<>();
 
   /**
-   * The life of a proxy that has not been started.
+   * Creates the log of a proxy that has not been started.
    *
-   * @param killAfterTermNanos how long after SIGTERM SIGKILL is due
+   * @param killAfterTermNanos the time after SIGTERM at which SIGKILL is due
    */
   ProxyLife(int index, long killAfterTermNanos) {
     this.index = index;
@@ -68,7 +72,8 @@
   }
 
   /**
-   * By SIGKILL without SIGTERM, or with SIGTERM so soon after the request that it was no matter.
+   * Returns whether SIGKILL interrupted the request. A SIGKILL that followed a SIGTERM does not
+   * count for a request that was sent more than 700 ms after that SIGTERM.
    */
   @Override
   public synchronized boolean wasKilledUnder(long sentNanos, long endNanos) {
--- a/soak/src/main/java/loadbalancer/soak/ProxyNode.java
+++ b/soak/src/main/java/loadbalancer/soak/ProxyNode.java
@@ -6,21 +6,24 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One proxy of the fleet with its discovery agent, through all its incarnations. Its life is led by
- * one thread at a time; clients only look at it.
+ * A proxy of the fleet with its discovery agent, through all its incarnations. One thread at a time
+ * starts and ends the process; client threads only read its state.
  */
 final class ProxyNode implements AutoCloseable {
 
-  /** New connections come for so long after SIGTERM. */
+  /** Time after SIGTERM during which clients open new connections. */
   private static final long CONNECT_AFTER_TERM_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
 
-  /** The former discovery address closes its connections so long after a reload. */
+  /** Time after a reload at which the former discovery agent closes its connections. */
   private static final long RETIRED_AGENT_MILLIS = 1500;
 
-  /** What discovery has counts so long after a reload. */
+  /** Time after a reload from which the proxy counts as notified of the agent's list. */
   private static final long RELOAD_NANOS = TimeUnit.SECONDS.toNanos(4);
 
-  /** What a silent watch misses counts so long after it fell silent. */
+  /**
+   * Time after its watches became silent from which the proxy counts as notified of the changes
+   * that they missed.
+   */
   private static final long SILENCE_NANOS = TimeUnit.SECONDS.toNanos(6);
 
   private static final long READY_MILLIS = 30_000;
@@ -59,7 +62,7 @@
     learnUpTo(catalogue.revision());
   }
 
-  /** What was done to it, and what it did wrong by itself. */
+  /** Returns the log of signals sent to the proxy and of violations found in its process. */
   ProxyLife life() {
     return life;
   }
@@ -80,26 +83,26 @@
     return incarnation;
   }
 
-  /** Whether clients may connect now. */
+  /** Returns whether clients may open connections now. */
   boolean mayConnect() {
     long terminated = terminatedNanos;
     return accepting
         && (terminated == 0 || System.nanoTime() - terminated < CONNECT_AFTER_TERM_NANOS);
   }
 
-  /** Whether it is on its way to its end, so that it may close connections between requests. */
+  /** Returns whether the proxy is ending or down, and may close connections between requests. */
   boolean isEnding() {
     return !accepting || terminatedNanos != 0;
   }
 
-  /** Whether it serves and nothing is being done to its process. */
+  /** Returns whether the proxy is serving and not reserved for a restart or shutdown. */
   synchronized boolean isIdle() {
     return accepting && !busy;
   }
 
   // ---- The endpoint list -----------------------------------------------------------------------
 
-  /** Its agent gets the list of a revision. */
+  /** Delivers a revision of the list to the agent, unless it has that or a later one. */
   synchronized void learn(int revision) {
     if (revision > learned) {
       agent.learn(revision);
@@ -115,13 +118,13 @@
     }
   }
 
-  /** Its watches fall silent. */
+  /** Silences the open watches of the proxy. */
   synchronized void silenceWatches() {
     agent.silenceWatches();
     laggingUntilNanos = Math.max(laggingUntilNanos, System.nanoTime() + SILENCE_NANOS);
   }
 
-  /** Discovery moves to another address, and the process is told by SIGHUP. */
+  /** Moves discovery to another address and sends SIGHUP to the process. */
   synchronized void reload() throws IOException, InterruptedException {
     DiscoveryAgent former = agent;
     agent = new DiscoveryAgent(loop, catalogue);
@@ -161,14 +164,14 @@
     }
   }
 
-  /** Reserves the process for one thing that ends it; false if it is reserved already. */
+  /** Reserves the process for a restart or shutdown; returns false if it is reserved or down. */
   synchronized boolean reserve() {
     boolean free = accepting && !busy;
     busy = busy || free;
     return free;
   }
 
-  /** SIGKILL, and a start anew. */
+  /** Sends SIGKILL and restarts the process after a pause. */
   void killAndStart(long pauseMillis) throws IOException, InterruptedException {
     accepting = false;
     kill();
@@ -183,7 +186,7 @@
     life.killed(new ProxyLife.Span(from, System.nanoTime()));
   }
 
-  /** SIGTERM, SIGKILL when that is due, and a start anew. */
+  /** Sends SIGTERM, then SIGKILL if the process has not ended in time, and restarts it. */
   void restart(long pauseMillis) throws IOException, InterruptedException {
     terminateAndEnd();
     Thread.sleep(pauseMillis);
@@ -191,7 +194,7 @@
     release();
   }
 
-  /** SIGTERM, and SIGKILL when that is due. */
+  /** Sends SIGTERM, then SIGKILL if the process has not ended in time. */
   void terminateAndEnd() throws InterruptedException {
     terminatedNanos = System.nanoTime();
     life.terminated(terminatedNanos);
@@ -216,7 +219,7 @@
     busy = false;
   }
 
-  /** Holds the process up for a moment. */
+  /** Stops the process by SIGSTOP for a time. */
   void pause(long millis) throws IOException, InterruptedException {
     long from = System.nanoTime();
     process.signal("STOP");
@@ -225,7 +228,7 @@
     life.paused(new ProxyLife.Span(from, System.nanoTime()));
   }
 
-  /** Notes a crash, if the process has ended though nobody ended it. */
+  /** Records a violation if the process has ended without being terminated or killed. */
   synchronized void checkAlive() {
     if (accepting && !busy && !process.isAlive()) {
       accepting = false;
--- a/soak/src/main/java/loadbalancer/soak/ProxyProcess.java
+++ b/soak/src/main/java/loadbalancer/soak/ProxyProcess.java
@@ -14,14 +14,15 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A proxy as the platform runs it: started by {@code run} of the deploy file from the repository's
- * folder, with the fault library preloaded. It may be started again after its end.
+ * A proxy process, started as the platform does: by the {@code run} command of the deploy file, in
+ * the repository's directory, with the system call fault library preloaded. It can be restarted
+ * after its end.
  */
 final class ProxyProcess implements AutoCloseable {
 
   /**
-   * Starts all processes. They end when the thread that started them does (see the fault library),
-   * so it lives as long as the harness.
+   * Starts all processes. A process ends with the thread that started it (see the fault library),
+   * so this thread lives as long as the harness.
    */
   private static final ExecutorService SPAWNER =
       Executors.newSingleThreadExecutor(
@@ -42,12 +43,12 @@
   private Process process;
 
   /**
-   * Makes a proxy that has not been started.
+   * Creates a proxy that has not been started.
    *
-   * @param home the repository's folder, with a built jar
-   * @param folder for its configuration, control file and log
-   * @param library the fault library
-   * @param seed of the calls that fail by chance
+   * @param home the repository's directory, with a built jar
+   * @param folder the directory for its configuration, control file and log
+   * @param library the path of the fault library
+   * @param seed the seed of system calls that fail at random
    */
   ProxyProcess(Path home, Path folder, Path library, long seed) throws IOException {
     this.home = home;
@@ -58,7 +59,7 @@
     logFile = folder.resolve("log");
   }
 
-  /** Where clients connect. */
+  /** Returns the port that the proxy listens on. */
   int port() {
     return port;
   }
@@ -71,17 +72,17 @@
     return faults;
   }
 
-  /** Has later incarnations write their log to another file, or a pipe. */
+  /** Sets the file or pipe that later incarnations write their log to. */
   void logTo(Path file) {
     logFile = file;
   }
 
-  /** What the proxy has logged so far, in all its incarnations. */
+  /** Returns the log of all incarnations so far. */
   String log() throws IOException {
     return Files.exists(logFile) ? Files.readString(logFile, StandardCharsets.UTF_8) : "";
   }
 
-  /** Replaces the configuration file, in one step. */
+  /** Replaces the configuration file atomically. */
   void configure(ObjectNode configuration) throws IOException {
     Path next = folder.resolve("config.next");
     Files.writeString(next, configuration.toString());
@@ -92,7 +93,7 @@
         StandardCopyOption.REPLACE_EXISTING);
   }
 
-  /** Starts the process; returns at once. */
+  /** Starts the process and returns without waiting until it is ready. */
   void start() throws IOException, InterruptedException {
     String run =
         new TomlMapper()
@@ -118,7 +119,7 @@
     }
   }
 
-  /** Waits until {@code GET /healthz} answers 200; false if it does not in time. */
+  /** Waits until {@code GET /healthz} returns 200; returns false if it does not in time. */
   boolean awaitReady(long maxMillis) throws InterruptedException {
     long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(maxMillis);
     while (System.nanoTime() < until && process.isAlive()) {
@@ -144,17 +145,17 @@
     return process != null && process.isAlive();
   }
 
-  /** The exit status; to be called once it has ended. */
+  /** Returns the exit status of a process that has ended. */
   int exitValue() {
     return process.exitValue();
   }
 
-  /** Waits for the end; false if it does not come in time. */
+  /** Waits until the process has ended; returns false if it does not in time. */
   boolean awaitEnd(long maxMillis) throws InterruptedException {
     return process.waitFor(maxMillis, TimeUnit.MILLISECONDS);
   }
 
-  /** What the process has used so far. */
+  /** Returns the resources that the process has used so far. */
   ProcessUsage usage() throws IOException {
     return ProcessUsage.of(process.pid());
   }
@@ -169,7 +170,7 @@
     signal("HUP");
   }
 
-  /** Sends a signal, by its name without SIG. */
+  /** Sends a signal, given by its name without the prefix SIG. */
   void signal(String name) throws IOException, InterruptedException {
     new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor();
   }
--- a/soak/src/main/java/loadbalancer/soak/RequestKind.java
+++ b/soak/src/main/java/loadbalancer/soak/RequestKind.java
@@ -1,24 +1,25 @@
 package loadbalancer.soak;
 
 /**
- * A class of requests in the deployment under test.
+ * A request class of the deployment under test.
  *
- * @param name as the settings name it
- * @param effect how often a request may take effect
- * @param objectiveMillis the latency within which a response earns its worth
- * @param deadlineMillis how long a client waits at most
- * @param dedupWindowMillis how long upstreams recognise a repeat; 0 where they don't
+ * @param name the name of the class in the settings
+ * @param effect the limit on how often a request may take effect
+ * @param objectiveMillis the latency objective of responses
+ * @param deadlineMillis the maximum time that a client waits
+ * @param dedupWindowMillis the time for which upstreams recognise a repeated request; 0 if they do
+ *     not
  */
 record RequestKind(
     String name, Effect effect, long objectiveMillis, long deadlineMillis, long dedupWindowMillis) {
 
-  /** How often a request may take effect, by its name in the settings. */
+  /** The limit on how often a request may take effect, with its name in the settings. */
   enum Effect {
-    /** As often as wanted. */
+    /** It may run any number of times. */
     IDEMPOTENT("idempotent"),
-    /** Once in the window, where it goes to upstreams that recognise its key. */
+    /** It may be repeated within the deduplication window, as upstreams recognise its key. */
     DEDUPLICATED("deduplicated"),
-    /** Once. */
+    /** It may run at most once. */
     AT_MOST_ONCE("at_most_once");
 
     private final String wireName;
--- a/soak/src/main/java/loadbalancer/soak/RequestRecord.java
+++ b/soak/src/main/java/loadbalancer/soak/RequestRecord.java
@@ -4,22 +4,24 @@
 import java.util.List;
 
 /**
- * A client's request and what became of it. Written by the thread of its client alone, and read by
- * others once that thread has ended. Times are readings of {@link System#nanoTime()}; 0 is never.
+ * A client's request and its outcome. Only the client's thread writes it; other threads read it
+ * after that thread has ended. Times are values of {@link System#nanoTime()}; 0 means unset.
  */
 final class RequestRecord {
 
-  /** How a request ended for its client. */
+  /** The outcome of a request for its client. */
   enum Outcome {
-    /** It was not sent completely. */
+    /**
+     * The request was not sent completely, or the proxy closed the connection without reading it.
+     */
     NOT_SENT,
-    /** A whole response came. */
+    /** A complete response was received. */
     RESPONSE,
     /** The proxy closed the connection without a response. */
     CLOSED,
-    /** Nothing came until long after the deadline. */
+    /** No complete response was received by the end of the wait after the deadline. */
     UNANSWERED,
-    /** The client left before the response. */
+    /** The client closed the connection without waiting for the response. */
     LEFT
   }
 
@@ -45,7 +47,7 @@
     this.remainingMillis = remaining;
   }
 
-  /** The request as it goes over the wire. */
+  /** Returns the HTTP/1.1 encoding of the request. */
   String text() {
     StringBuilder text = new StringBuilder();
     boolean get = kind.effect() == RequestKind.Effect.IDEMPOTENT;
@@ -63,7 +65,7 @@
     return text.append(content).toString();
   }
 
-  /** Reading until which the client waits at least. */
+  /** Returns the deadline that the request states. The client waits at least until then. */
   long deadlineNanos() {
     return sentNanos + remainingMillis * 1_000_000;
   }
--- a/soak/src/main/java/loadbalancer/soak/Schedule.java
+++ b/soak/src/main/java/loadbalancer/soak/Schedule.java
@@ -6,13 +6,13 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** Draws the troubles of a run from its seed, so that several of them overlap all the time. */
+/** Draws the disruptions of a run from its seed, such that several overlap at any time. */
 final class Schedule {
 
-  /** Quiet at first, for the proxies to learn what is usual. */
+  /** Time without disruptions at the start, in which the proxies learn the usual load. */
   private static final long FIRST_MILLIS = 2000;
 
-  /** No trouble begins so shortly before the end: its effects are to be seen. */
+  /** Time without new disruptions at the end, so that the effects of the last ones are observed. */
   private static final long LAST_MILLIS = 3000;
 
   private static final long MEAN_DURATION_MILLIS = 1500;
@@ -20,21 +20,24 @@
   private static final int OVERLAPPING = 5;
   private static final int MAX_TARGET = 1 << 16;
 
-  /** Troubles that come in one moment: crossings are looked for. */
+  /** Fraction of disruptions followed closely by the next one, to provoke race conditions. */
   private static final double TOGETHER_PART = 0.3;
 
   private static final long TOGETHER_MILLIS = 60;
 
-  /** Beside those drawn evenly: there are many forms of them. */
+  /**
+   * Fraction of disruptions that are failing system calls, in addition to those drawn uniformly.
+   * This kind has many variants.
+   */
   private static final double SYSTEM_CALLS_PART = 0.25;
 
   private Schedule() {}
 
   /**
-   * Draws the troubles of a run.
+   * Draws the disruptions of a run.
    *
-   * @param runMillis how long it lasts
-   * @param processes the more there are, the more troubles
+   * @param runMillis the length of the run
+   * @param processes the number of proxies; the rate of disruptions grows with it
    */
   static List<Trouble> draw(long seed, long runMillis, int processes) {
     UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
--- a/soak/src/main/java/loadbalancer/soak/SoakCommand.java
+++ b/soak/src/main/java/loadbalancer/soak/SoakCommand.java
@@ -12,12 +12,15 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 
-/** The command line of the soak test. Exit status: 0 no violation, 1 some, 2 it could not run. */
+/**
+ * The command line of the soak test. Exits with status 0 if no invariant was violated, 1 if one
+ * was, and 2 if the test could not run.
+ */
 @Command(
     name = "soak",
     mixinStandardHelpOptions = true,
     description =
-        "Plays overlapping troubles on real load balancer processes, judged by invariants.")
+        "Injects overlapping disruptions into load balancer processes and checks invariants.")
 public final class SoakCommand implements Callable<Integer> {
 
   private static final int PASSED = 0;
@@ -66,7 +69,9 @@
     return report.violations().isEmpty() ? PASSED : VIOLATED;
   }
 
-  /** No more than half of the machine's memory. */
+  /**
+   * Returns an error message if the proxies need more than half of the machine's memory, or null.
+   */
   private String memoryProblem() {
     long wanted =
         (long) Deployment.of(options.processes, options.endpoints).memoryMebibytes()
@@ -79,6 +84,6 @@
             : Long.MAX_VALUE;
     return wanted <= half
         ? null
-        : options.processes + " proxies take " + wanted + " MiB, half of the machine is " + half;
+        : options.processes + " proxies need " + wanted + " MiB, half of the memory is " + half;
   }
 }
--- a/soak/src/main/java/loadbalancer/soak/SoakOptions.java
+++ b/soak/src/main/java/loadbalancer/soak/SoakOptions.java
@@ -3,12 +3,12 @@
 import java.nio.file.Path;
 import picocli.CommandLine.Option;
 
-/** What a run is to be. */
+/** Command-line options of a run. */
 final class SoakOptions {
 
   @Option(
       names = "--seed",
-      description = "Seed of the troubles and of the traffic (default: ${DEFAULT-VALUE}).")
+      description = "Seed of the disruptions and of the traffic (default: ${DEFAULT-VALUE}).")
   long seed = 1;
 
   @Option(
@@ -25,23 +25,23 @@
   @Option(
       names = "--requests-per-second",
       description =
-          "Requests a second of each proxy's clients together (default: ${DEFAULT-VALUE}).")
+          "Total requests per second of each proxy's clients (default: ${DEFAULT-VALUE}).")
   double requestsPerSecond = 25;
 
   @Option(
       names = "--home",
-      description = "Folder of the repository, with a built jar (default: ${DEFAULT-VALUE}).")
+      description = "Directory of the repository, with a built jar (default: ${DEFAULT-VALUE}).")
   Path home = Path.of(".");
 
   @Option(
       names = "--folder",
-      description = "Where logs and configurations go (default: a temporary folder).")
+      description = "Directory for logs and configurations (default: a temporary one).")
   Path folder;
 
   @Option(names = "--report", description = "File for the report, in JSON.")
   Path report;
 
-  /** What is wrong with the options; null if nothing is. */
+  /** Returns an error message for the first invalid option, or null if all options are valid. */
   String problem() {
     if (seconds < 10 || seconds > 3600) {
       return "--seconds takes 10 to 3600, got " + seconds;
--- a/soak/src/main/java/loadbalancer/soak/SoakReport.java
+++ b/soak/src/main/java/loadbalancer/soak/SoakReport.java
@@ -13,14 +13,14 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * The result of a run.
+ * The result of a run. The record components are the fields of the JSON report.
  *
- * @param requests how many were sent, by outcome and status
- * @param latencyMillis of responses with status 200, by percentile
- * @param troubles how many there were, by kind
- * @param violations how many there are, by rule
- * @param firstViolation with its history; null if there is none
- * @param firstOfEachOtherRule likewise
+ * @param requests the number of requests, by outcome and status
+ * @param latencyMillis the latency of responses with status 200, by percentile
+ * @param troubles the number of scheduled disruptions, by kind
+ * @param violations the number of violations, by rule
+ * @param firstViolation the earliest violation with its history; null if there is none
+ * @param firstOfEachOtherRule the earliest violation of each other violated rule
  */
 @JsonPropertyOrder({
   "seed",
@@ -45,7 +45,7 @@
   private static final double[] PERCENTILES = {50, 90, 99, 99.9, 100};
   private static final int SIGNIFICANT_DIGITS = 3;
 
-  /** The earliest violation, and the events that led to it. */
+  /** The earliest violation of a rule, with the events that led to it. */
   record FirstViolation(String rule, String traceId, String detail, List<String> history) {}
 
   static SoakReport of(
--- a/soak/src/main/java/loadbalancer/soak/SoakRun.java
+++ b/soak/src/main/java/loadbalancer/soak/SoakRun.java
@@ -18,10 +18,10 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** One run: a fleet, its traffic, its troubles, and the judgement at the end. */
+/** A single run: starts a fleet, generates traffic, injects disruptions and checks the result. */
 final class SoakRun implements AutoCloseable {
 
-  /** Agents get a change so long after it was made, at most. */
+  /** Maximum delay between a change of the endpoint list and its delivery to an agent. */
   private static final int MAX_LIST_DELAY_MILLIS = 1000;
 
   private static final int CLIENTS = 4;
@@ -45,8 +45,8 @@
   /**
    * Prepares a run.
    *
-   * @param folder for the proxies' configurations and logs
-   * @param progress gets a line every few seconds
+   * @param folder the directory for the proxies' configurations and logs
+   * @param progress receives a progress line every few seconds
    */
   SoakRun(SoakOptions options, Path folder, PrintStream progress)
       throws IOException, InterruptedException {
@@ -64,7 +64,7 @@
     troubleMaker = new TroubleMaker(proxies, endpoints, catalogue);
   }
 
-  /** Each agent gets a change in its own time, unless discovery is down then. */
+  /** Delivers a revision to each agent after a random delay, unless discovery is down by then. */
   private void publish(int revision) {
     for (ProxyNode proxy : List.copyOf(proxies)) {
       int delay = ThreadLocalRandom.current().nextInt(MAX_LIST_DELAY_MILLIS);
@@ -78,7 +78,7 @@
     }
   }
 
-  /** Plays the run and judges it. */
+  /** Executes the run, checks the invariants and returns the report. */
   SoakReport play() throws IOException, InterruptedException {
     startAll();
     List<Trouble> troubles =
@@ -157,7 +157,7 @@
         nextProgress += PROGRESS_MILLIS;
         int sent = attempts.all().size();
         progress.println(
-            now / 1000 + " s: " + next + " troubles, " + sent + " requests at upstreams");
+            now / 1000 + " s: " + next + " disruptions, " + sent + " requests at upstreams");
       }
       Thread.sleep(STEP_MILLIS);
     }
@@ -167,7 +167,7 @@
     return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - start);
   }
 
-  /** Ends all proxies as a planned restart does. */
+  /** Shuts all proxies down as a planned restart does. */
   private void endAll() throws InterruptedException {
     List<Thread> ends = new ArrayList<>();
     for (ProxyNode proxy : proxies) {
--- a/soak/src/main/java/loadbalancer/soak/Sockets.java
+++ b/soak/src/main/java/loadbalancer/soak/Sockets.java
@@ -15,15 +15,15 @@
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.function.Consumer;
 
-/** Small helpers for sockets on the loopback interface. */
+/** Helper methods for sockets on the loopback interface. */
 final class Sockets {
 
-  /** Below the ports that the system gives to outgoing connections. */
+  /** Lowest port to allocate. The range lies below the ephemeral ports of outgoing connections. */
   private static final int LOWEST_PORT = 15_000;
 
   private static final int HIGHEST_PORT = 30_000;
 
-  /** Ports that were handed out, of which some may not be listened on yet. */
+  /** Ports that were allocated, some of which may not have a listener yet. */
   private static final Set<Integer> HANDED_OUT = ConcurrentHashMap.newKeySet();
 
   private Sockets() {}
@@ -33,12 +33,15 @@
     try {
       channel.config().setOption(ChannelOption.SO_LINGER, 0);
     } catch (ChannelException e) {
-      // The other side has reset it already.
+      // The peer has already reset the connection.
     }
     channel.close();
   }
 
-  /** Listens on a port of the loopback interface, 0 for any; each connection is initialized. */
+  /**
+   * Listens on a port of the loopback interface, or on any free port if it is 0. The initializer is
+   * called for each accepted connection.
+   */
   static Channel listen(EventLoop loop, int port, Consumer<Channel> initializer) {
     return new ServerBootstrap()
         .group(loop)
@@ -57,7 +60,10 @@
         .channel();
   }
 
-  /** A port that nothing listens on, that no outgoing connection takes, and that is new. */
+  /**
+   * Returns a port that has no listener, is outside the range of ephemeral ports and has not been
+   * returned before.
+   */
   static int freePort() {
     while (true) {
       int port = ThreadLocalRandom.current().nextInt(LOWEST_PORT, HIGHEST_PORT);
@@ -67,7 +73,7 @@
       try (ServerSocket probe = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
         return probe.getLocalPort();
       } catch (IOException e) {
-        // Taken: another one.
+        // The port is in use; try another one.
         continue;
       }
     }
--- a/soak/src/main/java/loadbalancer/soak/StandInUpstream.java
+++ b/soak/src/main/java/loadbalancer/soak/StandInUpstream.java
@@ -17,24 +17,24 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * An upstream server. It logs what reaches it and responds as its mode says. All of it runs on one
- * event loop; the public methods are for any thread.
+ * A simulated upstream server. It logs the requests that reach it and responds according to its
+ * mode. It runs on one event loop; the methods for callers may be called from any thread.
  */
 final class StandInUpstream implements AutoCloseable {
 
-  /** What an upstream does with the requests that it gets. */
+  /** The behavior of an upstream towards the requests that it receives. */
   enum Mode {
-    /** Serves them. */
+    /** Responds with status 200. */
     SERVING,
     /** Responds with status 500. */
     FAILING,
-    /** Says that it did not run them. */
+    /** Responds with status 503 and a header that says that the request did not run. */
     REJECTING,
-    /** Says nothing. */
+    /** Does not respond. */
     HANGING,
-    /** Resets the connection under a request that has begun. */
+    /** Resets the connection when a request has arrived. */
     RESETTING,
-    /** Breaks the response off in the middle. */
+    /** Sends half of the response and closes the connection. */
     TRUNCATING,
     /** Responds twice, the second time some milliseconds later. */
     REPEATING
@@ -56,7 +56,7 @@
   private volatile int acceptedConnections;
   private int closedConnections;
 
-  /** Makes an upstream that does not listen yet. */
+  /** Creates an upstream that does not listen yet. */
   StandInUpstream(EventLoop loop, String name, AttemptLog log, long latencyMillis, long seed) {
     this.loop = loop;
     this.name = name;
@@ -74,12 +74,12 @@
     return "127.0.0.1:" + port;
   }
 
-  /** The number of connections that have been made to it. */
+  /** Returns the number of connections that it has accepted. */
   int acceptedConnections() {
     return acceptedConnections;
   }
 
-  /** When its present incarnation started; 0 for long ago. */
+  /** Returns the start of its current incarnation; 0 if it started long ago. */
   long startedUnixMillis() {
     return startedUnixMillis;
   }
@@ -88,7 +88,7 @@
     mode = next;
   }
 
-  /** Listens as another incarnation; 0 for one that has run for long. */
+  /** Listens as a new incarnation with the given start time; 0 for one that started long ago. */
   void start(long unixMillis) {
     startedUnixMillis = unixMillis;
     server = Sockets.listen(loop, port, this::initialize);
@@ -107,7 +107,7 @@
             new RequestHandler(clock));
   }
 
-  /** Ends as a killed process does: connections are reset, new ones refused. */
+  /** Behaves as a killed process: resets its connections and refuses new ones. */
   void kill() {
     if (server != null) {
       server.close().syncUninterruptibly();
@@ -120,7 +120,7 @@
     kill();
   }
 
-  /** Notes when the first byte of a request came. */
+  /** Records when the first byte of a request arrived. */
   private static final class FirstByteClock extends ChannelInboundHandlerAdapter {
 
     private long firstByteNanos;
@@ -182,7 +182,7 @@
         case REJECTING ->
             write(channel, "HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n");
         case HANGING -> {
-          // Neither a response nor an end.
+          // No response is sent, and the connection stays open.
         }
         case RESETTING -> Sockets.reset(channel);
         case TRUNCATING -> {
--- a/soak/src/main/java/loadbalancer/soak/Trouble.java
+++ b/soak/src/main/java/loadbalancer/soak/Trouble.java
@@ -1,13 +1,13 @@
 package loadbalancer.soak;
 
 /**
- * One thing that is to happen in a run.
+ * A scheduled disruption of a run.
  *
- * @param atMillis when, from the run's start
- * @param kind what
- * @param target number of the proxy or endpoint, modulo how many there are
- * @param durationMillis how long it lasts, where it does
- * @param variant chooses between the forms of a kind
+ * @param atMillis the time of its start, from the run's start
+ * @param kind the kind of disruption
+ * @param target selects the proxy or endpoint, modulo their number
+ * @param durationMillis the duration, for kinds that last
+ * @param variant selects among the variants of a kind
  */
 record Trouble(long atMillis, TroubleKind kind, int target, long durationMillis, int variant) {
 
--- a/soak/src/main/java/loadbalancer/soak/TroubleKind.java
+++ b/soak/src/main/java/loadbalancer/soak/TroubleKind.java
@@ -1,41 +1,41 @@
 package loadbalancer.soak;
 
-/** What can happen to a fleet beside its ordinary traffic. */
+/** The kinds of disruption that a run injects into the fleet. */
 enum TroubleKind {
-  /** A proxy gets SIGTERM, SIGKILL in time, and starts again. */
+  /** A proxy receives SIGTERM, then SIGKILL if it has not ended in time, and is restarted. */
   RESTART,
-  /** The same, and accepting fails while the listener is about to close. */
+  /** A proxy is restarted as above, and accept fails around the time its listener closes. */
   RESTART_WHILE_ACCEPTING_FAILS,
-  /** A proxy gets SIGKILL and starts again. */
+  /** A proxy receives SIGKILL and is restarted. */
   KILL,
-  /** The same, and the first steps of the start fail. */
+  /** A proxy receives SIGKILL, and the first binds of its restart fail. */
   KILL_AND_FAIL_AT_START,
-  /** The same, with the wall clock stepped between the two. */
+  /** The wall clock of a proxy is stepped, then the proxy receives SIGKILL and is restarted. */
   KILL_AND_STEP_CLOCK,
-  /** Discovery moves, and a proxy gets SIGHUP. */
+  /** The discovery address of a proxy changes, and the proxy receives SIGHUP. */
   RELOAD,
-  /** Discovery moves twice within a moment. */
+  /** The discovery address of a proxy changes twice in quick succession. */
   RELOAD_TWICE,
-  /** A proxy gets SIGHUP and SIGTERM within a moment. */
+  /** A proxy receives SIGHUP and shortly afterwards SIGTERM. */
   RELOAD_AND_RESTART,
-  /** Discovery is down. */
+  /** Discovery does not respond to any proxy. */
   DISCOVERY_DOWN,
-  /** The watches of a proxy fall silent. */
+  /** The open watches of a proxy stay open but receive nothing any more. */
   WATCHES_SILENT,
-  /** The watches of a proxy are reset. */
+  /** The connections of a proxy's watches are reset. */
   WATCHES_RESET,
-  /** Complete lists come first, without draining endpoints. */
+  /** New watches of a proxy start with a complete list that omits draining endpoints. */
   COMPLETE_LISTS,
-  /** An endpoint drains, goes, and another one comes. */
+  /** An endpoint is drained and removed, and a new one is added. */
   RELEASE,
-  /** An endpoint dies and comes back cold. */
+  /** An endpoint is killed and restarted, so that it has to warm up. */
   ENDPOINT_RESTART,
-  /** An endpoint misbehaves. */
+  /** An endpoint responds incorrectly or not at all for some time. */
   ENDPOINT_MODE,
-  /** System calls of a proxy fail. */
+  /** System calls of a proxy fail or transfer fewer bytes than requested. */
   SYSTEM_CALLS,
-  /** The wall clock of a proxy is stepped. */
+  /** The wall clock of a running proxy is stepped. */
   WALL_CLOCK,
-  /** A proxy is held up. */
+  /** A proxy is stopped by SIGSTOP for a short time. */
   PAUSE
 }
--- a/soak/src/main/java/loadbalancer/soak/TroubleMaker.java
+++ b/soak/src/main/java/loadbalancer/soak/TroubleMaker.java
@@ -11,7 +11,7 @@
 import loadbalancer.soak.FaultControl.Call;
 import loadbalancer.soak.FaultControl.Errno;
 
-/** Carries out the troubles of a run, each on a thread of its own. */
+/** Injects the disruptions of a run, each on a separate thread. */
 final class TroubleMaker implements AutoCloseable {
 
   private static final int SOME_PER_MILLION = 300_000;
@@ -44,12 +44,12 @@
     this.catalogue = catalogue;
   }
 
-  /** Whether discovery is down, so that no agent learns anything. */
+  /** Returns whether discovery is down, in which case no agent receives changes. */
   boolean isDiscoveryDown() {
     return outages.get() > 0;
   }
 
-  /** Starts a trouble and returns. */
+  /** Starts a disruption and returns without waiting for its end. */
   void begin(Trouble trouble) {
     threads.execute(
         () -> {
@@ -108,7 +108,10 @@
     proxy.process().faults().shiftWallClock(offset);
   }
 
-  /** The listener is to close 0.55 s after SIGTERM, over clients that came in the meantime. */
+  /**
+   * Lets accept fail from 0.1 s to 0.65 s after SIGTERM. The listener is due to close 0.55 s after
+   * SIGTERM, while clients that connected in the meantime have not been accepted.
+   */
   private void failAcceptingAroundTheClose(ProxyNode proxy) {
     threads.execute(
         () -> {
@@ -176,7 +179,7 @@
     boolean once = trouble.target() % 2 == 0;
     switch (call) {
       case ACCEPT, SOCKET -> failFor(faults, call, shortage, once);
-      case BIND -> faults.failNext(call, 2, shortage); // At the next start.
+      case BIND -> faults.failNext(call, 2, shortage); // Takes effect at the next start.
       case CONNECT -> faults.failAll(call, once ? Errno.EADDRNOTAVAIL : Errno.ENETUNREACH);
       case READ -> interrupt(faults, call, once, SHORT_READ_BYTES);
       case WRITE -> interrupt(faults, call, once, SHORT_WRITE_BYTES);
@@ -206,7 +209,7 @@
     }
   }
 
-  /** Waits for the troubles that are not over. */
+  /** Waits for the disruptions that have not ended. */
   @Override
   public void close() {
     threads.shutdown();
--- a/soak/src/main/java/loadbalancer/soak/package-info.java
+++ b/soak/src/main/java/loadbalancer/soak/package-info.java
@@ -1,6 +1,6 @@
 /**
- * A soak test of the load balancer over real processes on the loopback interface: it starts
- * proxies, plays their clients, upstreams and discovery, lets several faults overlap by a seed, and
- * judges what happened by the invariants that the proxy promises.
+ * Soak test of the load balancer with real processes on the loopback interface. It starts proxies,
+ * simulates their clients, upstreams and discovery, injects overlapping disruptions drawn from a
+ * seed, and checks the recorded events against the invariants that the proxy guarantees.
  */
 package loadbalancer.soak;
--- a/soak/src/test/java/loadbalancer/soak/AcceptFailureTest.java
+++ b/soak/src/test/java/loadbalancer/soak/AcceptFailureTest.java
@@ -14,12 +14,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Clients of a listener whose calls of accept fail for a moment. */
+/** Tests that clients are served although {@code accept} fails temporarily. */
 class AcceptFailureTest {
 
   private static final int CLIENTS = 4;
 
-  /** Connections that the network library accepts before it looks at others. */
+  /** Connections that Netty accepts on a listener before it handles other channels. */
   private static final int ACCEPTED_IN_A_TURN = 16;
 
   private static final long DEADLINE_MILLIS = 800;
@@ -30,7 +30,7 @@
     return new SingleProxy(folder, Deployment.of(1, 2), 0, 0).start();
   }
 
-  /** The listener closes 0.55 s after SIGTERM, and accept fails until after that. */
+  /** Accept fails until after 0.55 s from SIGTERM, when the listener is due to close. */
   @Test
   void servesClientsThatCouldNotBeAcceptedBeforeTheListenerWasToClose()
       throws IOException, InterruptedException {
@@ -73,13 +73,13 @@
     }
   }
 
-  /** A client's time runs while its connection waits to be accepted. */
+  /** The time that a connection waits to be accepted counts towards the deadline. */
   @Test
   void tellsUpstreamsNoMoreTimeThanIsLeftAfterTheWait() throws IOException, InterruptedException {
     assertToldNoMoreTimeThanIsLeft(false);
   }
 
-  /** Its request is read in many pieces. */
+  /** As above, and the request is read in many pieces. */
   @Test
   void tellsUpstreamsNoMoreTimeThanIsLeftWhereReadsAreShort()
       throws IOException, InterruptedException {
@@ -106,7 +106,10 @@
     }
   }
 
-  /** As many clients wait as are accepted in one turn, and the next one comes much later. */
+  /**
+   * Exactly as many clients wait as are accepted in one event loop iteration, and the next one
+   * connects much later. Its wait must not be counted from the earlier failure.
+   */
   @Test
   void countsNoWaitOnceTheQueueWasEmpty() throws IOException, InterruptedException {
     try (SingleProxy proxy = start()) {
@@ -117,7 +120,7 @@
       }
       proxy.process.faults().clear(Call.ACCEPT);
       Thread.sleep(2 * DEADLINE_MILLIS);
-      // Held up, so that the request is there when its connection is accepted.
+      // The process is stopped, so that the request has arrived when its connection is accepted.
       proxy.process.signal("STOP");
       try (ClientConnection client = proxy.connect()) {
         client.write(proxy.read(DEADLINE_MILLIS));
--- a/soak/src/test/java/loadbalancer/soak/BlockedLogTest.java
+++ b/soak/src/test/java/loadbalancer/soak/BlockedLogTest.java
@@ -10,10 +10,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A proxy whose log nobody reads. */
+/** Tests that a proxy serves and shuts down although its log is a pipe that nobody reads. */
 class BlockedLogTest {
 
-  /** What a pipe holds on Linux: a write that does not fit waits for a reader. */
+  /** Capacity of a pipe on Linux. A write that does not fit blocks until a reader makes room. */
   private static final int PIPE_BYTES = 1 << 16;
 
   private static final long SERVE_MILLIS = 4000;
@@ -40,7 +40,7 @@
     Files.delete(pipe);
   }
 
-  /** For longer than the log's summary lines are apart. */
+  /** Sends requests for longer than the interval between the log's summary lines. */
   private static void assertServes(SingleProxy proxy) throws IOException, InterruptedException {
     long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(SERVE_MILLIS);
     try (ClientConnection client = proxy.connect()) {
--- a/soak/src/test/java/loadbalancer/soak/ColdFleetTest.java
+++ b/soak/src/test/java/loadbalancer/soak/ColdFleetTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A proxy that starts where all endpoints have started together. */
+/** Tests a proxy whose endpoints were all started at about the same time. */
 class ColdFleetTest {
 
   private static final int ENDPOINTS = 4;
@@ -19,7 +19,9 @@
 
   @TempDir Path folder;
 
-  /** It cannot know that this was long ago, and has no traffic of its own to go by. */
+  /**
+   * The proxy does not know that they started long ago and has seen no traffic to infer it from.
+   */
   @Test
   void servesBeforeItKnowsThatItsEndpointsAreWarm() throws IOException, InterruptedException {
     long started = System.currentTimeMillis() - AGE_MILLIS;
@@ -36,7 +38,7 @@
         }
       }
       double part = served / (double) sent;
-      assertTrue(part > 0.6, "part served: " + part + " of " + sent);
+      assertTrue(part > 0.6, "fraction served: " + part + " of " + sent);
     }
   }
 }
--- a/soak/src/test/java/loadbalancer/soak/DiscoveryReturnTest.java
+++ b/soak/src/test/java/loadbalancer/soak/DiscoveryReturnTest.java
@@ -9,18 +9,18 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What the agent gets at the return of discovery counts at once. */
+/** Tests that a change published when discovery recovers takes effect immediately. */
 class DiscoveryReturnTest {
 
   private static final long DEADLINE_MILLIS = 400;
   private static final long SERVE_MILLIS = 1500;
 
-  /** What every time limit grows by on real sockets. */
+  /** Tolerance added to time limits because real sockets delay events. */
   private static final long SLACK_MILLIS = 50;
 
   @TempDir Path folder;
 
-  /** The agent passes over a call, and in that moment discovery returns, with a drain. */
+  /** Discovery recovers, with a draining endpoint, while the agent has left calls unanswered. */
   @Test
   void heedsADrainThatComesWithTheReturnOfDiscovery() throws IOException, InterruptedException {
     Deployment deployment = Deployment.of(1, 3);
--- a/soak/src/test/java/loadbalancer/soak/FloodTest.java
+++ b/soak/src/test/java/loadbalancer/soak/FloodTest.java
@@ -9,14 +9,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A client that sends without end, and connects again when it is cut off. */
+/** Tests a proxy under clients that send without end and reconnect when they are disconnected. */
 class FloodTest {
 
   private static final long DEADLINE_MILLIS = 800;
   private static final long SERVE_MILLIS = 3000;
   private static final int FLOODS = 2;
 
-  /** SIGKILL would come so long after SIGTERM, with the longest deadline of the deployment. */
+  /** Time from SIGTERM to SIGKILL for the longest deadline of the deployment. */
   private static final long KILL_MILLIS = 2300;
 
   @TempDir Path folder;
@@ -29,7 +29,7 @@
           client.write(garbage);
         }
       } catch (IOException e) {
-        // Cut off: again.
+        // The proxy closed the connection; reconnect.
         continue;
       }
     }
--- a/soak/src/test/java/loadbalancer/soak/InvariantCheckerTest.java
+++ b/soak/src/test/java/loadbalancer/soak/InvariantCheckerTest.java
@@ -10,7 +10,7 @@
 import loadbalancer.soak.Violation.Rule;
 import org.junit.jupiter.api.Test;
 
-/** That each broken promise is found, and none in a healthy run. */
+/** Tests that each kind of violation is found, and none in a healthy run. */
 class InvariantCheckerTest {
 
   private static final long SENT = TimeUnit.SECONDS.toNanos(1000);
@@ -39,7 +39,7 @@
         .check(requests).stream().map(Violation::rule).toList();
   }
 
-  /** A request that is served in 20 ms, but for what the change makes of it. */
+  /** Returns a request that was served in 20 ms, modified by the change. */
   private RequestRecord request(String kind, Consumer<RequestRecord> change) {
     RequestRecord request = new RequestRecord("t", deployment.kind(kind), 0, 1, 1000);
     request.sentNanos = SENT;
@@ -125,7 +125,7 @@
             + TimeUnit.NANOSECONDS.toMillis(SENT);
     EndpointEntry entry = new EndpointEntry("s0", "", EndpointEntry.Phase.READY, startedUnixMillis);
     notifications.add(0, entry, SENT);
-    // In 2 s, at a tenth of 40 requests a second, 2.5 times that: 20, and 16.4 more for chance.
+    // A tenth of 40 requests per second, times 2.5, gives 20 in 2 s, plus a margin of 16.4.
     List<RequestRecord> requests = new ArrayList<>(burst(30, startedUnixMillis));
     assertEquals(List.of(), rules(requests));
     requests.addAll(burst(10, startedUnixMillis));
--- a/soak/src/test/java/loadbalancer/soak/LargeListTest.java
+++ b/soak/src/test/java/loadbalancer/soak/LargeListTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * What a proxy needs with sixteen times the endpoints, of which six in ten are replaced while it
- * serves the same traffic.
+ * Compares the resources that a proxy uses with 200 endpoints and with sixteen times as many, of
+ * which 60 percent are replaced while it serves the same traffic.
  */
 class LargeListTest {
 
@@ -27,7 +27,7 @@
 
   @TempDir Path folder;
 
-  /** What one proxy needed, and what it served of what was asked. */
+  /** The resources that a proxy used, and the fraction of requests that it served. */
   private record Play(ProcessUsage usage, int connections, double served) {}
 
   private Play play(int endpoints) throws IOException, InterruptedException {
@@ -55,7 +55,7 @@
     proxy.catalogue.add(new EndpointEntry(name, address, phase, started));
   }
 
-  /** Serves quietly, then through the release, then quietly again. */
+  /** Sends requests before, during and after the replacement; returns the fraction served. */
   private static double serve(SingleProxy proxy, int endpoints)
       throws IOException, InterruptedException {
     Random random = new Random(1);
@@ -97,7 +97,7 @@
   }
 
   private static void assertAtMost(String what, double allowed, double used) {
-    assertTrue(used <= allowed, () -> what + ": " + used + ", allowed are " + allowed);
+    assertTrue(used <= allowed, () -> what + ": " + used + ", allowed: " + allowed);
   }
 
   @Test
@@ -116,6 +116,6 @@
         large.usage.peakMebibytes());
     assertAtMost("descriptors", 2 * usual.usage.descriptors() + 40, large.usage.descriptors());
     assertAtMost("connections", 2.5 * usual.connections + 40, large.connections);
-    assertAtMost("part not served", 1 - 0.85 * usual.served, 1 - large.served);
+    assertAtMost("fraction not served", 1 - 0.85 * usual.served, 1 - large.served);
   }
 }
--- a/soak/src/test/java/loadbalancer/soak/PipelineTest.java
+++ b/soak/src/test/java/loadbalancer/soak/PipelineTest.java
@@ -11,17 +11,17 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Requests that a client sends at once, on a connection on which responses keep their order. */
+/** Tests pipelined requests, whose responses are sent in the order of the requests. */
 class PipelineTest {
 
-  /** A final response may come so long after the deadline. */
+  /** Maximum time after the deadline at which a final response may arrive. */
   private static final long LATE_MILLIS = 500;
 
   private static final long SHORT_MILLIS = 300;
 
   @TempDir Path folder;
 
-  /** The first one hangs at its endpoint for longer than the second one's client waits. */
+  /** The endpoint does not respond to the first request before the second one's deadline. */
   @Test
   void respondsInTimeToARequestBehindOneThatHangs() throws IOException, InterruptedException {
     Deployment deployment = Deployment.of(1, 2);
--- a/soak/src/test/java/loadbalancer/soak/RestartedDiscoveryTest.java
+++ b/soak/src/test/java/loadbalancer/soak/RestartedDiscoveryTest.java
@@ -8,10 +8,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Discovery that counts its versions anew, after a restart or at another address. */
+/** Tests discovery whose revisions start over, after a restart or at another address. */
 class RestartedDiscoveryTest {
 
-  /** Whatever discovery has to tell counts as told so long after it could be reached. */
+  /** Time after which the proxy counts as notified of the list of a reachable discovery agent. */
   private static final long NOTIFIED_MILLIS = 6000;
 
   private static final long DEADLINE_MILLIS = 400;
--- a/soak/src/test/java/loadbalancer/soak/SingleProxy.java
+++ b/soak/src/test/java/loadbalancer/soak/SingleProxy.java
@@ -12,10 +12,10 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** One proxy process with its upstreams and its discovery agent. */
+/** Test fixture of one proxy process with its upstreams and its discovery agent. */
 final class SingleProxy implements AutoCloseable {
 
-  /** A generous limit for what has to happen: no test passes by its running out. */
+  /** Limit of waits for required events. No test passes when it expires. */
   static final long TIMEOUT_MILLIS = 60_000;
 
   private static final Path HOME = Path.of(System.getProperty("proxy.home")).toAbsolutePath();
@@ -33,9 +33,9 @@
   private int requests;
 
   /**
-   * Prepares all but the start of the process.
+   * Starts the upstreams and the agent and configures the proxy, but does not start its process.
    *
-   * @param startedUnixMillis of each upstream; 0 for one that has run for long
+   * @param startedUnixMillis the start time of each upstream; 0 if it started long ago
    */
   SingleProxy(Path folder, Deployment deployment, long... startedUnixMillis)
       throws IOException, InterruptedException {
@@ -54,7 +54,10 @@
     configure(agent);
   }
 
-  /** Changes the list; the agent has it from {@link DiscoveryAgent#learn} on. */
+  /**
+   * Adds a change to the catalogue and returns its revision. The agent publishes it after {@link
+   * DiscoveryAgent#learn}.
+   */
   int list(StandInUpstream upstream, EndpointEntry.Phase phase, long startedUnixMillis) {
     return catalogue.add(
         new EndpointEntry(upstream.name(), upstream.address(), phase, startedUnixMillis));
@@ -70,7 +73,7 @@
             SEED));
   }
 
-  /** Another agent, with the present list of another catalogue. */
+  /** Returns another agent, with the current list of another catalogue. */
   DiscoveryAgent newAgent(EndpointCatalogue other) {
     return new DiscoveryAgent(group.next(), other);
   }
@@ -93,7 +96,7 @@
     return new ClientConnection(process.port());
   }
 
-  /** An idempotent request with a trace id of its own. */
+  /** Returns an idempotent request with a unique trace id. */
   String read(long remainingMillis) {
     return read("t" + requests++, remainingMillis);
   }
@@ -106,14 +109,14 @@
         + "\r\n\r\n";
   }
 
-  /** Sends a request and waits for its response, for as long as the client does. */
+  /** Sends a request and waits for its response, at most for the given time. */
   static ClientConnection.Response ask(ClientConnection client, String request, long waitMillis)
       throws IOException {
     client.write(request);
     return client.read(System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(waitMillis));
   }
 
-  /** The number of attempts that have reached an upstream. */
+  /** Returns the number of attempts that have reached an upstream. */
   long attemptsAt(StandInUpstream upstream) {
     return attempts.all().stream()
         .flatMap(List::stream)
--- a/soak/src/test/java/loadbalancer/soak/SoakRunTest.java
+++ b/soak/src/test/java/loadbalancer/soak/SoakRunTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import picocli.CommandLine;
 
-/** A short run of the soak test; the long ones are started by hand. */
+/** Tests a short run of the soak test. Long runs are started manually. */
 class SoakRunTest {
 
   private static final int SECONDS = 15;
@@ -35,8 +35,8 @@
     try (SoakRun run = new SoakRun(options, folder, quiet())) {
       SoakReport report = run.play();
       assertEquals(Map.of(), report.violations(), () -> report.firstViolation().toString());
-      assertTrue(report.requests().get("status 200") > SECONDS * PROCESSES, "traffic");
-      assertTrue(report.troubles().size() > 5, "troubles of many kinds");
+      assertTrue(report.requests().get("status 200") > SECONDS * PROCESSES, "number of requests");
+      assertTrue(report.troubles().size() > 5, "number of kinds of disruption");
     }
   }
 
--- a/soak/src/test/java/loadbalancer/soak/SocketFailureTest.java
+++ b/soak/src/test/java/loadbalancer/soak/SocketFailureTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** System calls on sockets that fail for a moment, at the start and in service. */
+/** Tests temporary failures of socket system calls at the start and while serving. */
 class SocketFailureTest {
 
   private static final long DEADLINE_MILLIS = 800;
@@ -36,7 +36,7 @@
     }
   }
 
-  /** The discovery agent, the interface look-up, the listener: whichever comes first. */
+  /** The first sockets are those of the discovery client, the interface lookup or the listener. */
   @Test
   void startsThoughSocketsCannotBeCreatedForAMoment() throws IOException, InterruptedException {
     for (int failures : new int[] {1, 4, 16}) {
@@ -47,7 +47,7 @@
     }
   }
 
-  /** Nothing has been sent, and no endpoint is to blame. */
+  /** No request has been sent, and the failures are not the endpoints' fault. */
   @Test
   void servesRequestsWhoseConnectionsCannotBeMadeForAMoment()
       throws IOException, InterruptedException {
--- a/soak/src/test/java/loadbalancer/soak/WallClockTest.java
+++ b/soak/src/test/java/loadbalancer/soak/WallClockTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Slow start of an endpoint where the proxy's wall clock is off. */
+/** Tests slow start of an endpoint when the proxy's wall clock is wrong. */
 class WallClockTest {
 
   private static final int ENDPOINTS = 4;
@@ -18,7 +18,7 @@
 
   @TempDir Path folder;
 
-  /** A proxy with one endpoint that has just started, the last, beside some that are warm. */
+  /** Returns a proxy whose last endpoint has just started, while the others are warm. */
   private SingleProxy proxy() throws IOException, InterruptedException {
     long justNow = System.currentTimeMillis() - 500;
     return new SingleProxy(
@@ -30,7 +30,7 @@
         justNow);
   }
 
-  /** Requests at the endpoint that has started, for each one at a warm endpoint in the mean. */
+  /** Returns the requests at the started endpoint, relative to the mean of the warm endpoints. */
   private static double part(SingleProxy proxy, long millis)
       throws IOException, InterruptedException {
     long warmingBefore = proxy.attemptsAt(proxy.upstreams.get(ENDPOINTS - 1));
@@ -52,10 +52,10 @@
       proxy.process.faults().shiftWallClock(offset);
       proxy.start();
       double first = part(proxy, 1000);
-      assertTrue(first < 0.6, () -> "overloads the endpoint: " + first);
+      assertTrue(first < 0.6, () -> "relative load of the starting endpoint is too high: " + first);
       Thread.sleep(SLOW_START_MILLIS);
       double warm = part(proxy, 1500);
-      assertTrue(warm > 0.6, () -> "leaves the endpoint cold: " + warm);
+      assertTrue(warm > 0.6, () -> "relative load of the warm endpoint is too low: " + warm);
     }
   }
 
