--- a/soak/src/main/java/loadbalancer/soak/BadClient.java
+++ b/soak/src/main/java/loadbalancer/soak/BadClient.java
@@ -11,7 +11,7 @@
  */
 final class BadClient {
 
-  private static final long OWED_MILLIS = 3200;
+  private static final long MAX_RESPONSE_MILLIS = 3200;
 
   private BadClient() {}
 
@@ -19,21 +19,21 @@
    * Sends part of a request to the proxy, if it accepts connections. Returns a violation if the
    * proxy neither responds nor closes the connection in time.
    */
-  static Optional<Violation> visit(
+  static Optional<Violation> check(
       ProxyNode proxy, Deployment deployment, UniformRandomProvider random) throws IOException {
-    if (!proxy.mayConnect()) {
+    if (!proxy.isConnectable()) {
       return Optional.empty();
     }
-    String text = new RequestRecord("bad", deployment.kinds().get(0), 0, 0, 1000).text();
+    String text = new RequestRecord("bad", deployment.kinds().get(0), 0, 0, 1000).toHttp();
     try (ClientConnection connection = new ClientConnection(proxy.process().port())) {
       connection.write(text.substring(0, 1 + random.nextInt(text.length() - 2)));
-      long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(OWED_MILLIS);
+      long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MAX_RESPONSE_MILLIS);
       if (connection.read(until).end() != ClientConnection.End.TIMEOUT) {
         return Optional.empty();
       }
     }
     String detail =
-        "n" + proxy.index() + " neither responded nor closed within " + OWED_MILLIS + " ms";
+        "n" + proxy.index() + " neither responded nor closed within " + MAX_RESPONSE_MILLIS + " ms";
     return Optional.of(new Violation(Violation.Rule.BAD_CLIENT, System.nanoTime(), null, detail));
   }
 }
--- a/soak/src/main/java/loadbalancer/soak/ClientWorker.java
+++ b/soak/src/main/java/loadbalancer/soak/ClientWorker.java
@@ -14,25 +14,25 @@
 final class ClientWorker implements Runnable {
 
   /** Time that clients wait after the deadline, to tell a late response from a lost one. */
-  private static final long PATIENCE_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
+  private static final long WAIT_AFTER_DEADLINE_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
 
-  private static final long IDLE_MILLIS = 50;
+  private static final long RECONNECT_DELAY_MILLIS = 50;
 
   /** Time after which a proxy may close an idle connection. */
-  private static final long MAY_CLOSE_IDLE_NANOS = TimeUnit.SECONDS.toNanos(2);
+  private static final long IDLE_CLOSE_NANOS = TimeUnit.SECONDS.toNanos(2);
 
   private final ProxyNode proxy;
   private final Deployment deployment;
   private final AttemptLog attempts;
   private final UniformRandomProvider random;
   private final double meanGapMillis;
-  private final AtomicLong ids;
+  private final AtomicLong nextTraceNumber;
   private final BooleanSupplier running;
   private final List<RequestRecord> records = new ArrayList<>();
   private final List<Violation> violations = new ArrayList<>();
   private ClientConnection connection;
-  private int connectedTo; // incarnation of the proxy
-  private boolean reused;
+  private int connectedIncarnation; // incarnation of the proxy
+  private boolean hasSentRequest;
   private long lastResponseNanos;
 
   ClientWorker(
@@ -41,13 +41,13 @@
       AttemptLog attempts,
       UniformRandomProvider random,
       double requestsPerSecond,
-      AtomicLong ids,
+      AtomicLong nextTraceNumber,
       BooleanSupplier running) {
     this.proxy = proxy;
     this.deployment = deployment;
     this.attempts = attempts;
     this.random = random;
-    this.ids = ids;
+    this.nextTraceNumber = nextTraceNumber;
     this.running = running;
     meanGapMillis = TimeUnit.SECONDS.toMillis(1) / requestsPerSecond;
   }
@@ -78,22 +78,22 @@
 
   private void sendOne() throws InterruptedException {
     if (!connect()) {
-      Thread.sleep(IDLE_MILLIS);
+      Thread.sleep(RECONNECT_DELAY_MILLIS);
       return;
     }
-    int manner = random.nextInt(100);
+    int behavior = random.nextInt(100);
     try {
-      if (manner < 4) {
-        leaveEarly();
-      } else if (manner < 8) {
+      if (behavior < 4) {
+        disconnectEarly();
+      } else if (behavior < 8) {
         pipeline();
-      } else if (manner < 11) {
+      } else if (behavior < 11) {
         disconnect();
-        BadClient.visit(proxy, deployment, random).ifPresent(violations::add);
+        BadClient.check(proxy, deployment, random).ifPresent(violations::add);
       } else {
-        ask(newRecord(), manner < 15);
+        exchange(newRecord(), behavior < 15);
       }
-      if (manner > 92) {
+      if (behavior > 92) {
         disconnect();
       }
     } catch (IOException e) {
@@ -105,13 +105,13 @@
     if (connection != null) {
       return true;
     }
-    if (!proxy.mayConnect()) {
+    if (!proxy.isConnectable()) {
       return false;
     }
     try {
-      connectedTo = proxy.incarnation();
+      connectedIncarnation = proxy.incarnation();
       connection = new ClientConnection(proxy.process().port());
-      reused = false;
+      hasSentRequest = false;
       return true;
     } catch (IOException e) {
       return false; // The proxy is not listening, so it has not accepted a request.
@@ -128,7 +128,7 @@
   private RequestRecord newRecord() {
     RequestKind kind = deployment.kinds().get(random.nextInt(deployment.kinds().size()));
     long remaining = kind.deadlineMillis() * (50 + random.nextInt(51)) / 100;
-    String traceId = "q" + ids.incrementAndGet();
+    String traceId = "q" + nextTraceNumber.incrementAndGet();
     RequestRecord record =
         new RequestRecord(traceId, kind, proxy.index(), proxy.incarnation(), remaining);
     records.add(record);
@@ -136,19 +136,19 @@
   }
 
   private void send(RequestRecord record, boolean inPieces) throws IOException {
-    record.firstOnConnection = !reused;
-    String text = record.text();
+    record.firstOnConnection = !hasSentRequest;
+    String text = record.toHttp();
     int cut = inPieces ? 1 + random.nextInt(text.length() - 1) : text.length();
     connection.write(text.substring(0, cut));
     if (cut < text.length()) {
-      pause(random.nextInt(100));
+      sleep(random.nextInt(100));
       connection.write(text.substring(cut));
     }
     record.sentNanos = System.nanoTime();
-    reused = true;
+    hasSentRequest = true;
   }
 
-  private static void pause(long millis) {
+  private static void sleep(long millis) {
     try {
       Thread.sleep(millis);
     } catch (InterruptedException e) {
@@ -156,28 +156,28 @@
     }
   }
 
-  private void ask(RequestRecord record, boolean inPieces) throws IOException {
+  private void exchange(RequestRecord record, boolean inPieces) throws IOException {
     send(record, inPieces);
     receive(record);
-    if (hasCrossed(record)) {
-      sendAgain(record);
+    if (wasClosedBeforeRead(record)) {
+      resend(record);
     }
   }
 
   /** Returns whether the proxy closed the connection, as it may, before it read the request. */
-  private boolean hasCrossed(RequestRecord record) {
-    boolean mayClose =
-        proxy.isEnding()
-            || proxy.incarnation() != connectedTo
-            || record.sentNanos - lastResponseNanos > MAY_CLOSE_IDLE_NANOS;
+  private boolean wasClosedBeforeRead(RequestRecord record) {
+    boolean canBeClosed =
+        proxy.isEndingOrDown()
+            || proxy.incarnation() != connectedIncarnation
+            || record.sentNanos - lastResponseNanos > IDLE_CLOSE_NANOS;
     return record.outcome == Outcome.CLOSED
         && !record.firstOnConnection
-        && mayClose
+        && canBeClosed
         && attempts.of(record.traceId).isEmpty();
   }
 
   /** Sends a request that was not read again, on another connection. */
-  private void sendAgain(RequestRecord record) throws IOException {
+  private void resend(RequestRecord record) throws IOException {
     record.events.add("connection closed before the request was read, sent again");
     record.outcome = Outcome.NOT_SENT;
     if (connect()) {
@@ -187,7 +187,7 @@
   }
 
   private void receive(RequestRecord record) {
-    Response response = connection.read(record.deadlineNanos() + PATIENCE_NANOS);
+    Response response = connection.read(record.deadlineNanos() + WAIT_AFTER_DEADLINE_NANOS);
     record.endNanos = System.nanoTime();
     record.status = response.status();
     record.body = response.body();
@@ -203,10 +203,10 @@
     }
   }
 
-  private void leaveEarly() throws IOException {
+  private void disconnectEarly() throws IOException {
     RequestRecord record = newRecord();
     send(record, false);
-    pause(random.nextInt(60));
+    sleep(random.nextInt(60));
     disconnect();
     record.closedNanos = System.nanoTime();
     record.endNanos = record.closedNanos;
@@ -223,28 +223,28 @@
     int size = 2 + random.nextInt(4);
     for (int i = 0; i < size; i++) {
       RequestRecord record = newRecord();
-      record.firstOnConnection = !reused && i == 0;
+      record.firstOnConnection = !hasSentRequest && i == 0;
       burst.add(record);
-      text.append(record.text());
+      text.append(record.toHttp());
     }
     connection.write(text.toString());
-    reused = true;
+    hasSentRequest = true;
     burst.forEach(record -> record.sentNanos = System.nanoTime());
     for (RequestRecord record : burst) {
       if (connection == null) {
-        boolean read = !attempts.of(record.traceId).isEmpty();
-        record.outcome = read ? Outcome.CLOSED : Outcome.NOT_SENT;
+        boolean hasArrived = !attempts.of(record.traceId).isEmpty();
+        record.outcome = hasArrived ? Outcome.CLOSED : Outcome.NOT_SENT;
         record.endNanos = System.nanoTime();
       } else {
         receive(record);
-        passOverCrossing(burst, record);
+        markIfClosedBeforeRead(burst, record);
       }
     }
   }
 
   /** Marks the first request as not sent if the proxy closed the connection before reading it. */
-  private void passOverCrossing(List<RequestRecord> burst, RequestRecord record) {
-    if (record == burst.get(0) && hasCrossed(record)) {
+  private void markIfClosedBeforeRead(List<RequestRecord> burst, RequestRecord record) {
+    if (record == burst.get(0) && wasClosedBeforeRead(record)) {
       record.events.add(
           "connection closed before the pipelined requests were read, not sent again");
       record.outcome = Outcome.NOT_SENT;
--- a/soak/src/main/java/loadbalancer/soak/DiscoveryAgent.java
+++ b/soak/src/main/java/loadbalancer/soak/DiscoveryAgent.java
@@ -40,10 +40,10 @@
   private final Channel server;
   private final List<Watch> watches = new ArrayList<>();
   private final List<Channel> connections = new ArrayList<>();
-  private final Semaphore ignoredCalls = new Semaphore(0);
+  private final Semaphore ignoredRequests = new Semaphore(0);
   private int revision;
   private boolean down;
-  private boolean firstAnswerComplete;
+  private boolean startsWithCompleteList;
 
   /** A response that stays open for changes of the list. A silent watch receives nothing more. */
   private static final class Watch {
@@ -83,7 +83,7 @@
   }
 
   /** Advances to a revision of the list, unless the agent has a later one, and pushes it. */
-  void learn(int newRevision) {
+  void advanceTo(int newRevision) {
     loop.execute(
         () -> {
           revision = Math.max(revision, newRevision);
@@ -109,16 +109,16 @@
    * Waits until {@code count} further requests have arrived while the agent was down. They are
    * never answered.
    */
-  void awaitIgnoredCalls(int count) throws InterruptedException {
-    ignoredCalls.acquire(count);
+  void awaitIgnoredRequests(int count) throws InterruptedException {
+    ignoredRequests.acquire(count);
   }
 
   /**
    * Sets whether each new watch starts with the complete list without draining endpoints. Otherwise
    * it starts with the changes since the revision that the proxy states, where they are known.
    */
-  void setFirstAnswerComplete(boolean complete) {
-    loop.execute(() -> firstAnswerComplete = complete);
+  void setStartsWithCompleteList(boolean complete) {
+    loop.execute(() -> startsWithCompleteList = complete);
   }
 
   /** Silences the currently open watches permanently. */
@@ -132,7 +132,7 @@
   }
 
   /** Stops listening at once, and closes the open connections after a time. */
-  void retire(long openMillis) {
+  void closeAfter(long openMillis) {
     server.close();
     loop.schedule(
         () -> List.copyOf(connections).forEach(Channel::close), openMillis, TimeUnit.MILLISECONDS);
@@ -140,7 +140,7 @@
 
   @Override
   public void close() {
-    retire(0);
+    closeAfter(0);
   }
 
   private void heartbeat() {
@@ -153,7 +153,7 @@
 
   private void push(Watch watch) {
     if (!down && !watch.silent && watch.sent < revision) {
-      write(watch.channel, catalogue.changes(watch.sent, revision) + "\n");
+      write(watch.channel, catalogue.changesBetween(watch.sent, revision) + "\n");
       watch.sent = revision;
     }
   }
@@ -168,7 +168,7 @@
     @Override
     protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
       if (down) {
-        ignoredCalls.release();
+        ignoredRequests.release();
         return;
       }
       QueryStringDecoder query = new QueryStringDecoder(request.uri());
@@ -184,17 +184,19 @@
       HttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
       head.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
       channel.write(head);
-      boolean complete = firstAnswerComplete || !catalogue.knows(since) || since > revision;
+      boolean complete =
+          startsWithCompleteList || !catalogue.hasRevision(since) || since > revision;
       Object list =
           complete
-              ? catalogue.complete(revision, firstAnswerComplete)
-              : catalogue.changes(since, revision);
+              ? catalogue.completeList(revision, startsWithCompleteList)
+              : catalogue.changesBetween(since, revision);
       DiscoveryAgent.write(channel, list + "\n");
       watches.add(new Watch(channel, revision));
     }
 
     private void sendList(Channel channel) {
-      byte[] list = catalogue.complete(revision, false).toString().getBytes(StandardCharsets.UTF_8);
+      byte[] list =
+          catalogue.completeList(revision, false).toString().getBytes(StandardCharsets.UTF_8);
       DefaultFullHttpResponse response =
           new DefaultFullHttpResponse(
               HttpVersion.HTTP_1_1, HttpResponseStatus.OK, Unpooled.wrappedBuffer(list));
--- a/soak/src/main/java/loadbalancer/soak/EndpointCatalogue.java
+++ b/soak/src/main/java/loadbalancer/soak/EndpointCatalogue.java
@@ -37,7 +37,7 @@
   }
 
   /** Returns the endpoints of a revision that have not been removed, by name. */
-  synchronized Map<String, EndpointEntry> at(int revision) {
+  synchronized Map<String, EndpointEntry> endpointsAt(int revision) {
     Map<String, EndpointEntry> entries = new LinkedHashMap<>();
     for (EndpointEntry entry : changes.subList(0, revision - FIRST_REVISION)) {
       if (entry.phase() == EndpointEntry.Phase.GONE) {
@@ -50,9 +50,9 @@
   }
 
   /** Returns the complete list of a revision, without draining endpoints if these are omitted. */
-  ObjectNode complete(int revision, boolean omitDraining) {
-    ObjectNode list = list(revision, true);
-    for (EndpointEntry entry : at(revision).values()) {
+  ObjectNode completeList(int revision, boolean omitDraining) {
+    ObjectNode list = emptyList(revision, true);
+    for (EndpointEntry entry : endpointsAt(revision).values()) {
       if (!omitDraining || entry.phase() == EndpointEntry.Phase.READY) {
         entry.writeTo(((ArrayNode) list.get("members")).addObject());
       }
@@ -61,23 +61,23 @@
   }
 
   /** Returns a list of the changes from one revision to another. */
-  synchronized ObjectNode changes(int since, int revision) {
+  synchronized ObjectNode changesBetween(int since, int revision) {
     Map<String, EndpointEntry> latest = new LinkedHashMap<>();
     for (EndpointEntry entry :
         changes.subList(Math.max(0, since - FIRST_REVISION), revision - FIRST_REVISION)) {
       latest.put(entry.id(), entry);
     }
-    ObjectNode list = list(revision, false);
+    ObjectNode list = emptyList(revision, false);
     latest.values().forEach(e -> e.writeTo(((ArrayNode) list.get("members")).addObject()));
     return list;
   }
 
   /** Returns whether the changes since a revision are known. */
-  synchronized boolean knows(int revision) {
+  synchronized boolean hasRevision(int revision) {
     return revision >= FIRST_REVISION && revision <= revision();
   }
 
-  private static ObjectNode list(int revision, boolean complete) {
+  private static ObjectNode emptyList(int revision, boolean complete) {
     ObjectNode list = JSON.createObjectNode();
     list.put("revision", revision).put("complete", complete).putArray("members");
     return list;
--- a/soak/src/main/java/loadbalancer/soak/EndpointFleet.java
+++ b/soak/src/main/java/loadbalancer/soak/EndpointFleet.java
@@ -14,68 +14,68 @@
   private final EventLoopGroup group;
   private final EndpointCatalogue catalogue;
   private final AttemptLog attempts;
-  private final IntConsumer published;
+  private final IntConsumer onPublish;
   private final List<StandInUpstream> all = new ArrayList<>();
   private final List<StandInUpstream> serving = new ArrayList<>();
-  private int nextName;
+  private int nextNumber;
 
   /**
    * Starts a number of upstreams, which are listed as started long ago.
    *
-   * @param published called with each new revision of the list
+   * @param onPublish called with each new revision of the list
    */
   EndpointFleet(
       EventLoopGroup group,
       EndpointCatalogue catalogue,
       AttemptLog attempts,
       int count,
-      IntConsumer published) {
+      IntConsumer onPublish) {
     this.group = group;
     this.catalogue = catalogue;
     this.attempts = attempts;
-    this.published = published;
+    this.onPublish = onPublish;
     for (int i = 0; i < count; i++) {
       add(0);
     }
   }
 
   private synchronized StandInUpstream add(long startedUnixMillis) {
-    int number = nextName++;
+    int number = nextNumber++;
     StandInUpstream upstream =
         new StandInUpstream(group.next(), "s" + number, attempts, LATENCY_MILLIS, number);
     upstream.start(startedUnixMillis);
     all.add(upstream);
     serving.add(upstream);
-    list(upstream, EndpointEntry.Phase.READY, startedUnixMillis);
+    publish(upstream, EndpointEntry.Phase.READY, startedUnixMillis);
     return upstream;
   }
 
-  private void list(StandInUpstream upstream, EndpointEntry.Phase phase, long started) {
-    published.accept(
+  private void publish(StandInUpstream upstream, EndpointEntry.Phase phase, long started) {
+    onPublish.accept(
         catalogue.add(new EndpointEntry(upstream.name(), upstream.address(), phase, started)));
   }
 
   /** Removes an upstream from the serving ones and returns it; null if too few are serving. */
-  private synchronized StandInUpstream take(int target) {
+  private synchronized StandInUpstream removeFromServing(int target) {
     if (serving.size() <= all.size() / 2 || serving.size() < 3) {
       return null;
     }
     return serving.remove(target % serving.size());
   }
 
-  private synchronized void giveBack(StandInUpstream upstream) {
+  private synchronized void returnToServing(StandInUpstream upstream) {
     serving.add(upstream);
   }
 
   /** Drains and removes an upstream, then adds a new one. */
-  void release(int target) throws InterruptedException {
-    StandInUpstream leaving = take(target);
+  void replace(int target) throws InterruptedException {
+    StandInUpstream leaving = removeFromServing(target);
     if (leaving == null) {
       return;
     }
-    list(leaving, EndpointEntry.Phase.DRAINING, leaving.startedUnixMillis());
+    publish(leaving, EndpointEntry.Phase.DRAINING, leaving.startedUnixMillis());
     Thread.sleep(DRAIN_MILLIS);
-    list(leaving, EndpointEntry.Phase.GONE, leaving.startedUnixMillis());
+    publish(leaving, EndpointEntry.Phase.GONE, leaving.startedUnixMillis());
     leaving.kill();
     synchronized (this) {
       all.remove(leaving);
@@ -85,26 +85,26 @@
 
   /** Kills an upstream and restarts it after a time, so that it has to warm up. */
   void restart(int target, long downMillis) throws InterruptedException {
-    StandInUpstream upstream = take(target);
+    StandInUpstream upstream = removeFromServing(target);
     if (upstream != null) {
       upstream.kill();
       Thread.sleep(downMillis);
       upstream.setMode(StandInUpstream.Mode.SERVING);
       long now = System.currentTimeMillis();
       upstream.start(now);
-      list(upstream, EndpointEntry.Phase.READY, now);
-      giveBack(upstream);
+      publish(upstream, EndpointEntry.Phase.READY, now);
+      returnToServing(upstream);
     }
   }
 
   /** Switches an upstream to a mode for a time. */
-  void misbehave(int target, StandInUpstream.Mode mode, long millis) throws InterruptedException {
-    StandInUpstream upstream = take(target);
+  void runInMode(int target, StandInUpstream.Mode mode, long millis) throws InterruptedException {
+    StandInUpstream upstream = removeFromServing(target);
     if (upstream != null) {
       upstream.setMode(mode);
       Thread.sleep(millis);
       upstream.setMode(StandInUpstream.Mode.SERVING);
-      giveBack(upstream);
+      returnToServing(upstream);
     }
   }
 
--- a/soak/src/main/java/loadbalancer/soak/FaultControl.java
+++ b/soak/src/main/java/loadbalancer/soak/FaultControl.java
@@ -118,7 +118,7 @@
   }
 
   private void set(Call call, int error, int bytes, int perMillion, int remaining) {
-    int rule = rule(call);
+    int rule = ruleOffset(call);
     // The count is written first and last, so that no partly written rule applies.
     memory.putInt(rule, 0);
     memory.putInt(rule + PER_MILLION_OFFSET, 0);
@@ -130,7 +130,7 @@
 
   /** Returns the number of calls that the library has made fail or cut short. */
   public long injected(Call call) {
-    return memory.getLong(rule(call) + INJECTED_OFFSET);
+    return memory.getLong(ruleOffset(call) + INJECTED_OFFSET);
   }
 
   /** Sets the offset of the wall clock that the process reads. Its monotonic clock is unchanged. */
@@ -138,7 +138,7 @@
     memory.putLong(0, offset.toMillis());
   }
 
-  private static int rule(Call call) {
+  private static int ruleOffset(Call call) {
     return RULES_OFFSET + call.ordinal() * RULE_BYTES;
   }
 }
--- a/soak/src/main/java/loadbalancer/soak/History.java
+++ b/soak/src/main/java/loadbalancer/soak/History.java
@@ -14,11 +14,11 @@
     List<Trouble> troubles,
     long startNanos) {
 
-  private static final long BEFORE_MILLIS = 8000;
+  private static final long DISRUPTION_LOOKBACK_MILLIS = 8000;
   private static final int MAX_LOG_LINES = 60;
 
   /** Returns the events before a violation, one per line, with times in ms from the run's start. */
-  List<String> of(Violation violation) throws IOException {
+  List<String> eventsBefore(Violation violation) throws IOException {
     List<String> lines = new ArrayList<>();
     for (RequestRecord request : requests) {
       if (request.traceId.equals(violation.traceId())) {
@@ -27,7 +27,7 @@
     }
     long at = violation.atNanos() == Long.MAX_VALUE ? Long.MAX_VALUE : millis(violation.atNanos());
     for (Trouble trouble : troubles) {
-      if (trouble.atMillis() <= at && trouble.atMillis() > at - BEFORE_MILLIS) {
+      if (trouble.atMillis() <= at && trouble.atMillis() > at - DISRUPTION_LOOKBACK_MILLIS) {
         lines.add("disruption " + trouble);
       }
     }
@@ -49,9 +49,10 @@
     lines.addAll(request.events);
     for (Attempt attempt : attempts.of(request.traceId)) {
       lines.add("attempt at " + millis(attempt.firstByteNanos()) + ": " + attempt);
-      for (NotificationLog.Notification told : notifications.of(request.proxy)) {
-        if (told.entry().id().equals(attempt.endpoint())) {
-          lines.add("notified from " + millis(told.fromNanos()) + ": " + told.entry());
+      for (NotificationLog.Notification notification : notifications.of(request.proxy)) {
+        if (notification.entry().id().equals(attempt.endpoint())) {
+          lines.add(
+              "notified from " + millis(notification.fromNanos()) + ": " + notification.entry());
         }
       }
     }
@@ -59,10 +60,10 @@
     String[] log = proxies.get(request.proxy).process().log().split("\n", -1);
     int added = 0;
     for (String line : log) {
-      boolean concerns =
+      boolean isRelevant =
           line.contains("trace_id=" + request.traceId + " ") || !line.contains("trace_id=");
-      boolean counted = line.contains(" summary ");
-      if (concerns && !counted && added++ < MAX_LOG_LINES) {
+      boolean isSummary = line.contains(" summary ");
+      if (isRelevant && !isSummary && added++ < MAX_LOG_LINES) {
         lines.add("log " + line);
       }
     }
--- a/soak/src/main/java/loadbalancer/soak/InvariantChecker.java
+++ b/soak/src/main/java/loadbalancer/soak/InvariantChecker.java
@@ -18,13 +18,13 @@
 final class InvariantChecker {
 
   /** A final response that is late by no more than this loses its value but violates no rule. */
-  private static final long LATE_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
+  private static final long MAX_LATE_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
   /** Tolerance added to time limits because real sockets delay events. */
   private static final long SOCKET_SLACK_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
   /** Maximum time between a client's close and the start of an attempt for it. */
-  private static final long CLIENT_GONE_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
+  private static final long CLIENT_CLOSE_SLACK_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
   /** Maximum excess of the remaining time that an attempt states over the actual one. */
   private static final long DEADLINE_SLACK_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
@@ -35,7 +35,7 @@
   /**
    * Minimum share of an overload that has to come from proxies notified of the endpoint's start.
    */
-  private static final double NOTIFIED_PART = 2.0 / 3;
+  private static final double MIN_NOTIFIED_FRACTION = 2.0 / 3;
 
   private final Deployment deployment;
   private final AttemptLog attempts;
@@ -60,7 +60,7 @@
     for (RequestRecord request : requests) {
       byTrace.put(request.traceId, request);
       checkResponse(request);
-      checkEffect(request);
+      checkExecutions(request);
       attempts.of(request.traceId).forEach(attempt -> checkAttempt(request, attempt));
     }
     checkSlowStart(attempt -> byTrace.get(attempt.traceId()).proxy);
@@ -76,9 +76,9 @@
     long lateNanos = request.endNanos - request.deadlineNanos();
     boolean unanswered = request.outcome == Outcome.CLOSED || request.outcome == Outcome.UNANSWERED;
     ProxyHistory proxy = proxies.get(request.proxy);
-    if (unanswered && !proxy.wasKilledUnder(request.sentNanos, request.endNanos)) {
+    if (unanswered && !proxy.wasKilledDuring(request.sentNanos, request.endNanos)) {
       report(Rule.DROPPED_REQUEST, request.endNanos, request.traceId, request.outcome.toString());
-    } else if (request.outcome == Outcome.RESPONSE && lateNanos > LATE_NANOS) {
+    } else if (request.outcome == Outcome.RESPONSE && lateNanos > MAX_LATE_NANOS) {
       report(Rule.DROPPED_REQUEST, request.endNanos, request.traceId, "late by " + lateNanos);
     }
     boolean served = request.outcome == Outcome.RESPONSE && request.status == 200;
@@ -92,7 +92,7 @@
         .anyMatch(attempt -> request.body.equals(attempt.traceId() + " by " + attempt.endpoint()));
   }
 
-  private void checkEffect(RequestRecord request) {
+  private void checkExecutions(RequestRecord request) {
     List<Attempt> ran = attempts.of(request.traceId).stream().filter(Attempt::ran).toList();
     if (request.kind.effect() == RequestKind.Effect.AT_MOST_ONCE && ran.size() > 1) {
       report(
@@ -130,7 +130,7 @@
           attempt.endpoint() + " by n" + request.proxy + ", " + after + " ms after notification");
     }
     if (request.closedNanos != 0
-        && attempt.firstByteNanos() > request.closedNanos + CLIENT_GONE_NANOS
+        && attempt.firstByteNanos() > request.closedNanos + CLIENT_CLOSE_SLACK_NANOS
         && !proxies.get(request.proxy).wasPaused(request.closedNanos, attempt.firstByteNanos())) {
       long after = TimeUnit.NANOSECONDS.toMillis(attempt.firstByteNanos() - request.closedNanos);
       report(
@@ -143,14 +143,14 @@
   }
 
   private void checkRemainingTime(RequestRecord request, Attempt attempt) {
-    long left = request.deadlineNanos() - attempt.firstByteNanos();
-    long told = TimeUnit.MILLISECONDS.toNanos(attempt.remainingMillis());
-    if (attempt.remainingMillis() >= 0 && told > left + DEADLINE_SLACK_NANOS) {
+    long leftNanos = request.deadlineNanos() - attempt.firstByteNanos();
+    long statedNanos = TimeUnit.MILLISECONDS.toNanos(attempt.remainingMillis());
+    if (attempt.remainingMillis() >= 0 && statedNanos > leftNanos + DEADLINE_SLACK_NANOS) {
       report(
           Rule.DEADLINE_PROPAGATION,
           attempt.firstByteNanos(),
           request.traceId,
-          "told " + told / 1_000_000 + " ms, left " + left / 1_000_000 + " ms");
+          "told " + statedNanos / 1_000_000 + " ms, left " + leftNanos / 1_000_000 + " ms");
     }
   }
 
@@ -179,12 +179,12 @@
       }
       List<Attempt> inWindow = all.subList(first, last + 1);
       double budget = budget(all.get(last));
-      if (inWindow.size() > withChance(budget) && fromNotified(inWindow, proxyOf)) {
+      if (inWindow.size() > withMargin(budget) && isFromNotifiedProxies(inWindow, proxyOf)) {
         report(
             Rule.SLOW_START,
             all.get(last).lastByteNanos(),
             all.get(last).traceId(),
-            name + " got " + inWindow.size() + " of " + withChance(budget));
+            name + " got " + inWindow.size() + " of " + withMargin(budget));
         return;
       }
     }
@@ -211,13 +211,13 @@
         / TimeUnit.SECONDS.toMillis(1);
   }
 
-  private static double withChance(double budget) {
+  private static double withMargin(double budget) {
     return budget < SMALL_BUDGET
         ? budget + 3 * Math.sqrt(budget) + 3
         : budget + 2 * Math.sqrt(budget) + 2;
   }
 
-  private boolean fromNotified(List<Attempt> inWindow, ToIntFunction<Attempt> proxyOf) {
+  private boolean isFromNotifiedProxies(List<Attempt> inWindow, ToIntFunction<Attempt> proxyOf) {
     long notified =
         inWindow.stream()
             .filter(
@@ -228,6 +228,6 @@
                             attempt.endpoint(),
                             attempt.startedUnixMillis()))
             .count();
-    return notified > NOTIFIED_PART * inWindow.size();
+    return notified > MIN_NOTIFIED_FRACTION * inWindow.size();
   }
 }
--- a/soak/src/main/java/loadbalancer/soak/LogChecker.java
+++ b/soak/src/main/java/loadbalancer/soak/LogChecker.java
@@ -8,7 +8,7 @@
 /** Searches a proxy's log for lines that indicate a defect of the proxy. */
 final class LogChecker {
 
-  private static final Pattern DEFECT =
+  private static final Pattern DEFECT_LINE =
       Pattern.compile(
           "engine_failed|engine_start_failed|invariant_violated|OutOfMemoryError|SIGSEGV"
               + "|Exception in thread|An exception .* was thrown by");
@@ -18,7 +18,7 @@
   static List<Violation> check(ProxyNode proxy) throws IOException {
     List<Violation> violations = new ArrayList<>();
     for (String line : proxy.process().log().split("\n", -1)) {
-      if (DEFECT.matcher(line).find()) {
+      if (DEFECT_LINE.matcher(line).find()) {
         violations.add(
             new Violation(Violation.Rule.CRASH, Long.MAX_VALUE, null, "n" + proxy.index() + line));
       }
--- a/soak/src/main/java/loadbalancer/soak/ProxyHistory.java
+++ b/soak/src/main/java/loadbalancer/soak/ProxyHistory.java
@@ -7,7 +7,7 @@
 interface ProxyHistory {
 
   /** Returns whether a SIGKILL excuses the loss of a request that was sent and ended then. */
-  boolean wasKilledUnder(long sentNanos, long endNanos);
+  boolean wasKilledDuring(long sentNanos, long endNanos);
 
   /** Returns whether the process was stopped at any time in an interval. */
   boolean wasPaused(long fromNanos, long toNanos);
--- a/soak/src/main/java/loadbalancer/soak/ProxyLife.java
+++ b/soak/src/main/java/loadbalancer/soak/ProxyLife.java
@@ -14,13 +14,13 @@
    * A request that is sent later than this after SIGTERM must be answered even if the SIGKILL that
    * follows the SIGTERM comes first.
    */
-  private static final long OWED_AFTER_TERM_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
+  private static final long RESPONSE_REQUIRED_AFTER_TERM_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
 
   /** Maximum delay of SIGKILL beyond the time at which it is due. */
-  private static final long KILL_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
+  private static final long MAX_KILL_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
   /** Maximum delay between a client's write of a request and its reading of the clock. */
-  private static final long CLOCK_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
+  private static final long MAX_CLOCK_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
   /** A time interval between two values of {@link System#nanoTime()}. */
   record Span(long fromNanos, long toNanos) {
@@ -46,19 +46,19 @@
     this.killAfterTermNanos = killAfterTermNanos;
   }
 
-  synchronized void killed(Span span) {
+  synchronized void recordKill(Span span) {
     kills.add(span);
   }
 
-  synchronized void terminated(long atNanos) {
+  synchronized void recordTermination(long atNanos) {
     terminations.add(atNanos);
   }
 
-  synchronized void paused(Span span) {
+  synchronized void recordPause(Span span) {
     pauses.add(span);
   }
 
-  synchronized void violated(Violation.Rule rule, String detail) {
+  synchronized void recordViolation(Violation.Rule rule, String detail) {
     violations.add(new Violation(rule, System.nanoTime(), null, "n" + index + " " + detail));
   }
 
@@ -76,20 +76,20 @@
    * count for a request that was sent more than 700 ms after that SIGTERM.
    */
   @Override
-  public synchronized boolean wasKilledUnder(long sentNanos, long endNanos) {
+  public synchronized boolean wasKilledDuring(long sentNanos, long endNanos) {
     return kills.stream()
         .anyMatch(
             kill ->
-                kill.overlaps(sentNanos - CLOCK_DELAY_NANOS, endNanos)
-                    && !cameAfterTermination(sentNanos, kill.fromNanos()));
+                kill.overlaps(sentNanos - MAX_CLOCK_DELAY_NANOS, endNanos)
+                    && !wasSentAfterTermination(sentNanos, kill.fromNanos()));
   }
 
-  private boolean cameAfterTermination(long sentNanos, long killNanos) {
+  private boolean wasSentAfterTermination(long sentNanos, long killNanos) {
     return terminations.stream()
         .anyMatch(
             term ->
                 killNanos > term
-                    && killNanos - term < killAfterTermNanos + KILL_DELAY_NANOS
-                    && sentNanos - term > OWED_AFTER_TERM_NANOS);
+                    && killNanos - term < killAfterTermNanos + MAX_KILL_DELAY_NANOS
+                    && sentNanos - term > RESPONSE_REQUIRED_AFTER_TERM_NANOS);
   }
 }
--- a/soak/src/main/java/loadbalancer/soak/ProxyNode.java
+++ b/soak/src/main/java/loadbalancer/soak/ProxyNode.java
@@ -15,18 +15,18 @@
   private static final long CONNECT_AFTER_TERM_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
 
   /** Time after a reload at which the former discovery agent closes its connections. */
-  private static final long RETIRED_AGENT_MILLIS = 1500;
+  private static final long FORMER_AGENT_OPEN_MILLIS = 1500;
 
   /** Time after a reload from which the proxy counts as notified of the agent's list. */
-  private static final long RELOAD_NANOS = TimeUnit.SECONDS.toNanos(4);
+  private static final long RELOAD_NOTIFICATION_NANOS = TimeUnit.SECONDS.toNanos(4);
 
   /**
    * Time after its watches became silent from which the proxy counts as notified of the changes
    * that they missed.
    */
-  private static final long SILENCE_NANOS = TimeUnit.SECONDS.toNanos(6);
+  private static final long SILENCE_NOTIFICATION_NANOS = TimeUnit.SECONDS.toNanos(6);
 
-  private static final long READY_MILLIS = 30_000;
+  private static final long READY_TIMEOUT_MILLIS = 30_000;
 
   private final int index;
   private final Deployment deployment;
@@ -34,14 +34,14 @@
   private final EndpointCatalogue catalogue;
   private final NotificationLog notifications;
   private final EventLoop loop;
-  private final ProxyLife life;
+  private final ProxyLife eventLog;
   private DiscoveryAgent agent;
-  private int learned;
-  private long laggingUntilNanos;
+  private int deliveredRevision;
+  private long notNotifiedUntilNanos;
   private volatile boolean accepting;
   private volatile long terminatedNanos;
   private volatile int incarnation;
-  private boolean busy;
+  private boolean reserved;
 
   ProxyNode(
       int index,
@@ -56,15 +56,15 @@
     this.catalogue = catalogue;
     this.notifications = notifications;
     this.loop = loop;
-    life = new ProxyLife(index, TimeUnit.MILLISECONDS.toNanos(killAfterTermMillis()));
+    eventLog = new ProxyLife(index, TimeUnit.MILLISECONDS.toNanos(killAfterTermMillis()));
     agent = new DiscoveryAgent(loop, catalogue);
-    laggingUntilNanos = System.nanoTime();
-    learnUpTo(catalogue.revision());
+    notNotifiedUntilNanos = System.nanoTime();
+    recordDelivery(catalogue.revision());
   }
 
   /** Returns the log of signals sent to the proxy and of violations found in its process. */
-  ProxyLife life() {
-    return life;
+  ProxyLife eventLog() {
+    return eventLog;
   }
 
   int index() {
@@ -84,35 +84,35 @@
   }
 
   /** Returns whether clients may open connections now. */
-  boolean mayConnect() {
+  boolean isConnectable() {
     long terminated = terminatedNanos;
     return accepting
         && (terminated == 0 || System.nanoTime() - terminated < CONNECT_AFTER_TERM_NANOS);
   }
 
   /** Returns whether the proxy is ending or down, and may close connections between requests. */
-  boolean isEnding() {
+  boolean isEndingOrDown() {
     return !accepting || terminatedNanos != 0;
   }
 
   /** Returns whether the proxy is serving and not reserved for a restart or shutdown. */
-  synchronized boolean isIdle() {
-    return accepting && !busy;
+  synchronized boolean isAvailable() {
+    return accepting && !reserved;
   }
 
   // ---- The endpoint list -----------------------------------------------------------------------
 
   /** Delivers a revision of the list to the agent, unless it has that or a later one. */
-  synchronized void learn(int revision) {
-    if (revision > learned) {
-      agent.learn(revision);
-      noteNotifications(learned, revision);
-      learned = revision;
+  synchronized void deliver(int revision) {
+    if (revision > deliveredRevision) {
+      agent.advanceTo(revision);
+      recordNotifications(deliveredRevision, revision);
+      deliveredRevision = revision;
     }
   }
 
-  private void noteNotifications(int since, int revision) {
-    long from = Math.max(System.nanoTime(), laggingUntilNanos);
+  private void recordNotifications(int since, int revision) {
+    long from = Math.max(System.nanoTime(), notNotifiedUntilNanos);
     for (int r = Math.max(since, catalogue.firstRevision()) + 1; r <= revision; r++) {
       notifications.add(index, catalogue.change(r), from);
     }
@@ -121,27 +121,29 @@
   /** Silences the open watches of the proxy. */
   synchronized void silenceWatches() {
     agent.silenceWatches();
-    laggingUntilNanos = Math.max(laggingUntilNanos, System.nanoTime() + SILENCE_NANOS);
+    notNotifiedUntilNanos =
+        Math.max(notNotifiedUntilNanos, System.nanoTime() + SILENCE_NOTIFICATION_NANOS);
   }
 
   /** Moves discovery to another address and sends SIGHUP to the process. */
   synchronized void reload() throws IOException, InterruptedException {
     DiscoveryAgent former = agent;
     agent = new DiscoveryAgent(loop, catalogue);
-    laggingUntilNanos = Math.max(laggingUntilNanos, System.nanoTime() + RELOAD_NANOS);
-    learnUpTo(catalogue.revision());
+    notNotifiedUntilNanos =
+        Math.max(notNotifiedUntilNanos, System.nanoTime() + RELOAD_NOTIFICATION_NANOS);
+    recordDelivery(catalogue.revision());
     configure();
-    process.hangUp();
-    former.retire(RETIRED_AGENT_MILLIS);
+    process.sendHangUp();
+    former.closeAfter(FORMER_AGENT_OPEN_MILLIS);
   }
 
-  private void learnUpTo(int revision) {
-    noteNotifications(learned, revision);
-    learned = revision;
+  private void recordDelivery(int revision) {
+    recordNotifications(deliveredRevision, revision);
+    deliveredRevision = revision;
   }
 
   private void configure() throws IOException {
-    ObjectNode known = catalogue.complete(learned, false);
+    ObjectNode known = catalogue.completeList(deliveredRevision, false);
     process.configure(
         deployment.configuration(
             index, process.address(), agent.address(), known, 31L * index + incarnation));
@@ -157,22 +159,23 @@
       configure();
       process.start();
     }
-    if (process.awaitReady(READY_MILLIS)) {
+    if (process.awaitReady(READY_TIMEOUT_MILLIS)) {
       accepting = true;
     } else {
-      life.violated(Violation.Rule.START, "not ready in " + READY_MILLIS + " ms");
+      eventLog.recordViolation(
+          Violation.Rule.START, "not ready in " + READY_TIMEOUT_MILLIS + " ms");
     }
   }
 
   /** Reserves the process for a restart or shutdown; returns false if it is reserved or down. */
-  synchronized boolean reserve() {
-    boolean free = accepting && !busy;
-    busy = busy || free;
-    return free;
+  synchronized boolean tryReserve() {
+    boolean isFree = accepting && !reserved;
+    reserved = reserved || isFree;
+    return isFree;
   }
 
   /** Sends SIGKILL and restarts the process after a pause. */
-  void killAndStart(long pauseMillis) throws IOException, InterruptedException {
+  void killAndRestart(long pauseMillis) throws IOException, InterruptedException {
     accepting = false;
     kill();
     Thread.sleep(pauseMillis);
@@ -183,26 +186,26 @@
   private void kill() {
     long from = System.nanoTime();
     process.close();
-    life.killed(new ProxyLife.Span(from, System.nanoTime()));
+    eventLog.recordKill(new ProxyLife.Span(from, System.nanoTime()));
   }
 
   /** Sends SIGTERM, then SIGKILL if the process has not ended in time, and restarts it. */
   void restart(long pauseMillis) throws IOException, InterruptedException {
-    terminateAndEnd();
+    terminateOrKill();
     Thread.sleep(pauseMillis);
     start();
     release();
   }
 
   /** Sends SIGTERM, then SIGKILL if the process has not ended in time. */
-  void terminateAndEnd() throws InterruptedException {
+  void terminateOrKill() throws InterruptedException {
     terminatedNanos = System.nanoTime();
-    life.terminated(terminatedNanos);
+    eventLog.recordTermination(terminatedNanos);
     process.terminate();
-    if (process.awaitEnd(killAfterTermMillis())) {
+    if (process.awaitExit(killAfterTermMillis())) {
       accepting = false;
       if (process.exitValue() != 0) {
-        life.violated(
+        eventLog.recordViolation(
             Violation.Rule.CRASH, "exit status " + process.exitValue() + " after SIGTERM");
       }
     } else {
@@ -216,23 +219,23 @@
   }
 
   private synchronized void release() {
-    busy = false;
+    reserved = false;
   }
 
   /** Stops the process by SIGSTOP for a time. */
   void pause(long millis) throws IOException, InterruptedException {
     long from = System.nanoTime();
-    process.signal("STOP");
+    process.sendSignal("STOP");
     Thread.sleep(millis);
-    process.signal("CONT");
-    life.paused(new ProxyLife.Span(from, System.nanoTime()));
+    process.sendSignal("CONT");
+    eventLog.recordPause(new ProxyLife.Span(from, System.nanoTime()));
   }
 
   /** Records a violation if the process has ended without being terminated or killed. */
-  synchronized void checkAlive() {
-    if (accepting && !busy && !process.isAlive()) {
+  synchronized void checkForCrash() {
+    if (accepting && !reserved && !process.isAlive()) {
       accepting = false;
-      life.violated(Violation.Rule.CRASH, "ended with status " + process.exitValue());
+      eventLog.recordViolation(Violation.Rule.CRASH, "ended with status " + process.exitValue());
     }
   }
 
--- a/soak/src/main/java/loadbalancer/soak/ProxyProcess.java
+++ b/soak/src/main/java/loadbalancer/soak/ProxyProcess.java
@@ -73,7 +73,7 @@
   }
 
   /** Sets the file or pipe that later incarnations write their log to. */
-  void logTo(Path file) {
+  void setLogFile(Path file) {
     logFile = file;
   }
 
@@ -151,7 +151,7 @@
   }
 
   /** Waits until the process has ended; returns false if it does not in time. */
-  boolean awaitEnd(long maxMillis) throws InterruptedException {
+  boolean awaitExit(long maxMillis) throws InterruptedException {
     return process.waitFor(maxMillis, TimeUnit.MILLISECONDS);
   }
 
@@ -166,12 +166,12 @@
   }
 
   /** Sends SIGHUP. */
-  void hangUp() throws IOException, InterruptedException {
-    signal("HUP");
+  void sendHangUp() throws IOException, InterruptedException {
+    sendSignal("HUP");
   }
 
   /** Sends a signal, given by its name without the prefix SIG. */
-  void signal(String name) throws IOException, InterruptedException {
+  void sendSignal(String name) throws IOException, InterruptedException {
     new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor();
   }
 
--- a/soak/src/main/java/loadbalancer/soak/RequestRecord.java
+++ b/soak/src/main/java/loadbalancer/soak/RequestRecord.java
@@ -48,7 +48,7 @@
   }
 
   /** Returns the HTTP/1.1 encoding of the request. */
-  String text() {
+  String toHttp() {
     StringBuilder text = new StringBuilder();
     boolean get = kind.effect() == RequestKind.Effect.IDEMPOTENT;
     text.append(get ? "GET" : "POST").append(" /api HTTP/1.1\r\nHost: backend.local\r\n");
--- a/soak/src/main/java/loadbalancer/soak/Schedule.java
+++ b/soak/src/main/java/loadbalancer/soak/Schedule.java
@@ -10,26 +10,26 @@
 final class Schedule {
 
   /** Time without disruptions at the start, in which the proxies learn the usual load. */
-  private static final long FIRST_MILLIS = 2000;
+  private static final long INITIAL_QUIET_MILLIS = 2000;
 
   /** Time without new disruptions at the end, so that the effects of the last ones are observed. */
-  private static final long LAST_MILLIS = 3000;
+  private static final long FINAL_QUIET_MILLIS = 3000;
 
   private static final long MEAN_DURATION_MILLIS = 1500;
   private static final long MIN_DURATION_MILLIS = 100;
-  private static final int OVERLAPPING = 5;
-  private static final int MAX_TARGET = 1 << 16;
+  private static final int MEAN_OVERLAPPING = 5;
+  private static final int RANDOM_BOUND = 1 << 16;
 
   /** Fraction of disruptions followed closely by the next one, to provoke race conditions. */
-  private static final double TOGETHER_PART = 0.3;
+  private static final double CLOSE_FRACTION = 0.3;
 
-  private static final long TOGETHER_MILLIS = 60;
+  private static final long CLOSE_INTERVAL_MILLIS = 60;
 
   /**
    * Fraction of disruptions that are failing system calls, in addition to those drawn uniformly.
    * This kind has many variants.
    */
-  private static final double SYSTEM_CALLS_PART = 0.25;
+  private static final double EXTRA_SYSTEM_CALLS_FRACTION = 0.25;
 
   private Schedule() {}
 
@@ -42,25 +42,26 @@
   static List<Trouble> draw(long seed, long runMillis, int processes) {
     UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
     List<Trouble> troubles = new ArrayList<>();
-    double perMilli = OVERLAPPING * Math.max(1, processes / 8.0) / MEAN_DURATION_MILLIS;
-    long at = FIRST_MILLIS;
-    while (at < runMillis - LAST_MILLIS) {
-      troubles.add(trouble(random, at));
-      boolean together = random.nextDouble() < TOGETHER_PART;
+    double perMilli = MEAN_OVERLAPPING * Math.max(1, processes / 8.0) / MEAN_DURATION_MILLIS;
+    long at = INITIAL_QUIET_MILLIS;
+    while (at < runMillis - FINAL_QUIET_MILLIS) {
+      troubles.add(drawOne(random, at));
+      boolean isCloseToNext = random.nextDouble() < CLOSE_FRACTION;
       at +=
-          together
-              ? random.nextLong(TOGETHER_MILLIS)
+          isCloseToNext
+              ? random.nextLong(CLOSE_INTERVAL_MILLIS)
               : 1 + (long) (-Math.log(1 - random.nextDouble()) / perMilli);
     }
     troubles.sort(Comparator.comparingLong(Trouble::atMillis));
     return troubles;
   }
 
-  private static Trouble trouble(UniformRandomProvider random, long at) {
+  private static Trouble drawOne(UniformRandomProvider random, long at) {
     TroubleKind[] kinds = TroubleKind.values();
-    boolean systemCalls = random.nextDouble() < SYSTEM_CALLS_PART;
+    boolean systemCalls = random.nextDouble() < EXTRA_SYSTEM_CALLS_FRACTION;
     TroubleKind kind = systemCalls ? TroubleKind.SYSTEM_CALLS : kinds[random.nextInt(kinds.length)];
     long duration = MIN_DURATION_MILLIS + random.nextLong(2 * MEAN_DURATION_MILLIS);
-    return new Trouble(at, kind, random.nextInt(MAX_TARGET), duration, random.nextInt(MAX_TARGET));
+    return new Trouble(
+        at, kind, random.nextInt(RANDOM_BOUND), duration, random.nextInt(RANDOM_BOUND));
   }
 }
--- a/soak/src/main/java/loadbalancer/soak/SoakCommand.java
+++ b/soak/src/main/java/loadbalancer/soak/SoakCommand.java
@@ -45,7 +45,7 @@
 
   @Override
   public Integer call() throws IOException, InterruptedException {
-    String problem = options.problem() == null ? memoryProblem() : options.problem();
+    String problem = options.validationError() == null ? memoryError() : options.validationError();
     if (problem != null) {
       err.println(problem);
       return FAILED;
@@ -57,7 +57,7 @@
     out.println("seed " + options.seed + ", logs in " + folder);
     SoakReport report;
     try (SoakRun run = new SoakRun(options, folder, out)) {
-      report = run.play();
+      report = run.run();
     }
     String text =
         new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT).writeValueAsString(report);
@@ -72,18 +72,22 @@
   /**
    * Returns an error message if the proxies need more than half of the machine's memory, or null.
    */
-  private String memoryProblem() {
-    long wanted =
+  private String memoryError() {
+    long neededMebibytes =
         (long) Deployment.of(options.processes, options.endpoints).memoryMebibytes()
             * options.processes;
-    java.lang.management.OperatingSystemMXBean system =
+    java.lang.management.OperatingSystemMXBean operatingSystem =
         ManagementFactory.getOperatingSystemMXBean();
-    long half =
-        system instanceof com.sun.management.OperatingSystemMXBean machine
+    long halfOfMemoryMebibytes =
+        operatingSystem instanceof com.sun.management.OperatingSystemMXBean machine
             ? machine.getTotalMemorySize() >> 21
             : Long.MAX_VALUE;
-    return wanted <= half
+    return neededMebibytes <= halfOfMemoryMebibytes
         ? null
-        : options.processes + " proxies need " + wanted + " MiB, half of the memory is " + half;
+        : options.processes
+            + " proxies need "
+            + neededMebibytes
+            + " MiB, half of the memory is "
+            + halfOfMemoryMebibytes;
   }
 }
--- a/soak/src/main/java/loadbalancer/soak/SoakOptions.java
+++ b/soak/src/main/java/loadbalancer/soak/SoakOptions.java
@@ -42,7 +42,7 @@
   Path report;
 
   /** Returns an error message for the first invalid option, or null if all options are valid. */
-  String problem() {
+  String validationError() {
     if (seconds < 10 || seconds > 3600) {
       return "--seconds takes 10 to 3600, got " + seconds;
     }
--- a/soak/src/main/java/loadbalancer/soak/SoakReport.java
+++ b/soak/src/main/java/loadbalancer/soak/SoakReport.java
@@ -55,10 +55,11 @@
       List<Violation> violations,
       History history)
       throws IOException {
-    Map<String, Long> byKind = new TreeMap<>();
-    troubles.forEach(trouble -> byKind.merge(trouble.kind().toString(), 1L, Long::sum));
-    Map<String, Long> byRule = new TreeMap<>();
-    violations.forEach(violation -> byRule.merge(violation.rule().toString(), 1L, Long::sum));
+    Map<String, Long> disruptionsByKind = new TreeMap<>();
+    troubles.forEach(trouble -> disruptionsByKind.merge(trouble.kind().toString(), 1L, Long::sum));
+    Map<String, Long> violationsByRule = new TreeMap<>();
+    violations.forEach(
+        violation -> violationsByRule.merge(violation.rule().toString(), 1L, Long::sum));
     return new SoakReport(
         options.seed,
         options.seconds,
@@ -66,8 +67,8 @@
         options.endpoints,
         outcomes(requests),
         latencies(requests),
-        byKind,
-        byRule,
+        disruptionsByKind,
+        violationsByRule,
         violations.isEmpty() ? null : first(violations.get(0), history),
         firstOfEachOtherRule(violations, history));
   }
@@ -89,7 +90,7 @@
         violation.rule().toString(),
         violation.traceId(),
         violation.detail(),
-        history.of(violation));
+        history.eventsBefore(violation));
   }
 
   private static Map<String, Long> outcomes(List<RequestRecord> requests) {
--- a/soak/src/main/java/loadbalancer/soak/SoakRun.java
+++ b/soak/src/main/java/loadbalancer/soak/SoakRun.java
@@ -24,23 +24,24 @@
   /** Maximum delay between a change of the endpoint list and its delivery to an agent. */
   private static final int MAX_LIST_DELAY_MILLIS = 1000;
 
-  private static final int CLIENTS = 4;
-  private static final long PROGRESS_MILLIS = 5000;
-  private static final long STEP_MILLIS = 20;
+  private static final int CLIENTS_PER_PROXY = 4;
+  private static final long PROGRESS_INTERVAL_MILLIS = 5000;
+  private static final long POLL_INTERVAL_MILLIS = 20;
 
   private final SoakOptions options;
   private final Deployment deployment;
   private final PrintStream progress;
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
-  private final ScheduledExecutorService lists = Executors.newSingleThreadScheduledExecutor();
+  private final ScheduledExecutorService deliveryExecutor =
+      Executors.newSingleThreadScheduledExecutor();
   private final EndpointCatalogue catalogue = new EndpointCatalogue();
   private final AttemptLog attempts = new AttemptLog();
   private final NotificationLog notifications = new NotificationLog();
   private final List<ProxyNode> proxies = new ArrayList<>();
   private final List<ClientWorker> workers = new ArrayList<>();
   private final EndpointFleet endpoints;
-  private final TroubleMaker troubleMaker;
+  private final TroubleMaker disruptionInjector;
 
   /**
    * Prepares a run.
@@ -61,39 +62,39 @@
           new ProxyProcess(home, folder.resolve("n" + i), library, options.seed + i);
       proxies.add(new ProxyNode(i, deployment, process, catalogue, notifications, group.next()));
     }
-    troubleMaker = new TroubleMaker(proxies, endpoints, catalogue);
+    disruptionInjector = new TroubleMaker(proxies, endpoints, catalogue);
   }
 
   /** Delivers a revision to each agent after a random delay, unless discovery is down by then. */
   private void publish(int revision) {
     for (ProxyNode proxy : List.copyOf(proxies)) {
       int delay = ThreadLocalRandom.current().nextInt(MAX_LIST_DELAY_MILLIS);
-      lists.schedule(() -> deliver(proxy, revision), delay, TimeUnit.MILLISECONDS);
+      deliveryExecutor.schedule(() -> deliver(proxy, revision), delay, TimeUnit.MILLISECONDS);
     }
   }
 
   private void deliver(ProxyNode proxy, int revision) {
-    if (!troubleMaker.isDiscoveryDown()) {
-      proxy.learn(revision);
+    if (!disruptionInjector.isDiscoveryDown()) {
+      proxy.deliver(revision);
     }
   }
 
   /** Executes the run, checks the invariants and returns the report. */
-  SoakReport play() throws IOException, InterruptedException {
+  SoakReport run() throws IOException, InterruptedException {
     startAll();
     List<Trouble> troubles =
         Schedule.draw(options.seed, TimeUnit.SECONDS.toMillis(options.seconds), options.processes);
     AtomicBoolean running = new AtomicBoolean(true);
     List<Thread> clients = startClients(running);
     long start = System.nanoTime();
-    playTroubles(troubles, start);
+    injectDisruptions(troubles, start);
     running.set(false);
     for (Thread client : clients) {
       client.join();
     }
-    troubleMaker.close();
-    endAll();
-    return judge(troubles, start);
+    disruptionInjector.close();
+    terminateAll();
+    return createReport(troubles, start);
   }
 
   private void startAll() throws IOException, InterruptedException {
@@ -123,7 +124,7 @@
     AtomicLong ids = new AtomicLong();
     List<Thread> threads = new ArrayList<>();
     for (ProxyNode proxy : proxies) {
-      for (int i = 0; i < CLIENTS; i++) {
+      for (int i = 0; i < CLIENTS_PER_PROXY; i++) {
         long seed = options.seed * 1_000_003 + 31L * proxy.index() + i;
         ClientWorker worker =
             new ClientWorker(
@@ -131,7 +132,7 @@
                 deployment,
                 attempts,
                 RandomSource.XO_RO_SHI_RO_128_PP.create(seed),
-                options.requestsPerSecond / CLIENTS,
+                options.requestsPerSecond / CLIENTS_PER_PROXY,
                 ids,
                 running::get);
         workers.add(worker);
@@ -144,22 +145,22 @@
     return threads;
   }
 
-  private void playTroubles(List<Trouble> troubles, long start) throws InterruptedException {
+  private void injectDisruptions(List<Trouble> troubles, long start) throws InterruptedException {
     long endMillis = TimeUnit.SECONDS.toMillis(options.seconds);
-    long nextProgress = PROGRESS_MILLIS;
+    long nextProgress = PROGRESS_INTERVAL_MILLIS;
     int next = 0;
     for (long now = 0; now < endMillis; now = millisSince(start)) {
       while (next < troubles.size() && troubles.get(next).atMillis() <= now) {
-        troubleMaker.begin(troubles.get(next++));
+        disruptionInjector.start(troubles.get(next++));
       }
-      proxies.forEach(ProxyNode::checkAlive);
+      proxies.forEach(ProxyNode::checkForCrash);
       if (now >= nextProgress) {
-        nextProgress += PROGRESS_MILLIS;
+        nextProgress += PROGRESS_INTERVAL_MILLIS;
         int sent = attempts.all().size();
         progress.println(
             now / 1000 + " s: " + next + " disruptions, " + sent + " requests at upstreams");
       }
-      Thread.sleep(STEP_MILLIS);
+      Thread.sleep(POLL_INTERVAL_MILLIS);
     }
   }
 
@@ -168,11 +169,11 @@
   }
 
   /** Shuts all proxies down as a planned restart does. */
-  private void endAll() throws InterruptedException {
+  private void terminateAll() throws InterruptedException {
     List<Thread> ends = new ArrayList<>();
     for (ProxyNode proxy : proxies) {
-      if (proxy.reserve()) {
-        Thread thread = new Thread(() -> end(proxy), "end-" + proxy.index());
+      if (proxy.tryReserve()) {
+        Thread thread = new Thread(() -> terminate(proxy), "end-" + proxy.index());
         thread.start();
         ends.add(thread);
       }
@@ -182,24 +183,27 @@
     }
   }
 
-  private static void end(ProxyNode proxy) {
+  private static void terminate(ProxyNode proxy) {
     try {
-      proxy.terminateAndEnd();
+      proxy.terminateOrKill();
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  private SoakReport judge(List<Trouble> troubles, long start) throws IOException {
+  private SoakReport createReport(List<Trouble> troubles, long start) throws IOException {
     List<RequestRecord> requests = new ArrayList<>();
     workers.forEach(worker -> requests.addAll(worker.records()));
     InvariantChecker checker =
         new InvariantChecker(
-            deployment, attempts, notifications, proxies.stream().map(ProxyNode::life).toList());
+            deployment,
+            attempts,
+            notifications,
+            proxies.stream().map(ProxyNode::eventLog).toList());
     List<Violation> violations = new ArrayList<>(checker.check(requests));
     workers.forEach(worker -> violations.addAll(worker.violations()));
     for (ProxyNode proxy : proxies) {
-      violations.addAll(proxy.life().violations());
+      violations.addAll(proxy.eventLog().violations());
       violations.addAll(LogChecker.check(proxy));
     }
     violations.sort(Comparator.comparingLong(Violation::atNanos));
@@ -209,7 +213,7 @@
 
   @Override
   public void close() {
-    lists.shutdownNow();
+    deliveryExecutor.shutdownNow();
     proxies.forEach(ProxyNode::close);
     endpoints.close();
     group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
--- a/soak/src/main/java/loadbalancer/soak/Sockets.java
+++ b/soak/src/main/java/loadbalancer/soak/Sockets.java
@@ -24,7 +24,7 @@
   private static final int HIGHEST_PORT = 30_000;
 
   /** Ports that were allocated, some of which may not have a listener yet. */
-  private static final Set<Integer> HANDED_OUT = ConcurrentHashMap.newKeySet();
+  private static final Set<Integer> ALLOCATED_PORTS = ConcurrentHashMap.newKeySet();
 
   private Sockets() {}
 
@@ -67,7 +67,7 @@
   static int freePort() {
     while (true) {
       int port = ThreadLocalRandom.current().nextInt(LOWEST_PORT, HIGHEST_PORT);
-      if (!HANDED_OUT.add(port)) {
+      if (!ALLOCATED_PORTS.add(port)) {
         continue;
       }
       try (ServerSocket probe = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
--- a/soak/src/test/java/loadbalancer/soak/AcceptFailureTest.java
+++ b/soak/src/test/java/loadbalancer/soak/AcceptFailureTest.java
@@ -20,7 +20,7 @@
   private static final int CLIENTS = 4;
 
   /** Connections that Netty accepts on a listener before it handles other channels. */
-  private static final int ACCEPTED_IN_A_TURN = 16;
+  private static final int ACCEPTS_PER_ITERATION = 16;
 
   private static final long DEADLINE_MILLIS = 800;
 
@@ -42,7 +42,7 @@
       List<ClientConnection> clients = new ArrayList<>();
       for (int i = 0; i < CLIENTS; i++) {
         ClientConnection client = proxy.connect();
-        client.write(proxy.read(DEADLINE_MILLIS));
+        client.write(proxy.readRequest(DEADLINE_MILLIS));
         clients.add(client);
       }
       Thread.sleep(500);
@@ -64,7 +64,8 @@
         proxy.process.faults().failNext(Call.ACCEPT, 1, error);
         try (ClientConnection client = proxy.connect()) {
           long before = System.nanoTime();
-          assertEquals(200, SingleProxy.ask(client, proxy.read(400), 400).status(), error::name);
+          assertEquals(
+              200, SingleProxy.exchange(client, proxy.readRequest(400), 400).status(), error::name);
           long tookMillis = (System.nanoTime() - before) / 1_000_000;
           assertTrue(tookMillis < 200, () -> error + " delayed a client by " + tookMillis + " ms");
         }
@@ -94,7 +95,7 @@
         proxy.process.faults().cutShort(Call.READ, 7);
       }
       long sentNanos = System.nanoTime();
-      client.write(SingleProxy.read("waiting", DEADLINE_MILLIS));
+      client.write(SingleProxy.readRequest("waiting", DEADLINE_MILLIS));
       Thread.sleep(400);
       proxy.process.faults().clear(Call.ACCEPT);
       assertEquals(200, client.read(sentNanos + 1_000_000 * DEADLINE_MILLIS).status());
@@ -115,16 +116,16 @@
     try (SingleProxy proxy = start()) {
       proxy.process.faults().failAll(Call.ACCEPT, Errno.ENFILE);
       List<ClientConnection> waiting = new ArrayList<>();
-      for (int i = 0; i < ACCEPTED_IN_A_TURN; i++) {
+      for (int i = 0; i < ACCEPTS_PER_ITERATION; i++) {
         waiting.add(proxy.connect());
       }
       proxy.process.faults().clear(Call.ACCEPT);
       Thread.sleep(2 * DEADLINE_MILLIS);
       // The process is stopped, so that the request has arrived when its connection is accepted.
-      proxy.process.signal("STOP");
+      proxy.process.sendSignal("STOP");
       try (ClientConnection client = proxy.connect()) {
-        client.write(proxy.read(DEADLINE_MILLIS));
-        proxy.process.signal("CONT");
+        client.write(proxy.readRequest(DEADLINE_MILLIS));
+        proxy.process.sendSignal("CONT");
         long until = System.nanoTime() + 1_000_000 * DEADLINE_MILLIS;
         assertEquals(200, client.read(until).status());
       }
@@ -142,7 +143,7 @@
     try (SingleProxy proxy = start()) {
       proxy.process.faults().failAll(Call.ACCEPT, Errno.ENFILE);
       try (ClientConnection client = proxy.connect()) {
-        client.write(proxy.read(DEADLINE_MILLIS));
+        client.write(proxy.readRequest(DEADLINE_MILLIS));
         Thread.sleep(1000);
         long failures = proxy.process.faults().injected(Call.ACCEPT);
         assertTrue(
--- a/soak/src/test/java/loadbalancer/soak/BlockedLogTest.java
+++ b/soak/src/test/java/loadbalancer/soak/BlockedLogTest.java
@@ -29,12 +29,12 @@
     try (RandomAccessFile open = new RandomAccessFile(pipe.toFile(), "rw");
         SingleProxy proxy = new SingleProxy(folder, Deployment.of(1, 2), 0, 0)) {
       open.write(new byte[PIPE_BYTES]);
-      proxy.process.logTo(pipe);
+      proxy.process.setLogFile(pipe);
       proxy.process.start();
       assertEquals(true, proxy.process.awaitReady(SingleProxy.TIMEOUT_MILLIS), "is ready");
       assertServes(proxy);
       proxy.process.terminate();
-      assertEquals(true, proxy.process.awaitEnd(SingleProxy.TIMEOUT_MILLIS), "ends on SIGTERM");
+      assertEquals(true, proxy.process.awaitExit(SingleProxy.TIMEOUT_MILLIS), "ends on SIGTERM");
       assertEquals(0, proxy.process.exitValue());
     }
     Files.delete(pipe);
@@ -45,8 +45,8 @@
     long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(SERVE_MILLIS);
     try (ClientConnection client = proxy.connect()) {
       while (System.nanoTime() < until) {
-        String request = proxy.read(DEADLINE_MILLIS);
-        assertEquals(200, SingleProxy.ask(client, request, DEADLINE_MILLIS).status());
+        String request = proxy.readRequest(DEADLINE_MILLIS);
+        assertEquals(200, SingleProxy.exchange(client, request, DEADLINE_MILLIS).status());
         Thread.sleep(INTERVAL_MILLIS);
       }
     }
--- a/soak/src/test/java/loadbalancer/soak/ColdFleetTest.java
+++ b/soak/src/test/java/loadbalancer/soak/ColdFleetTest.java
@@ -32,13 +32,13 @@
       long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(SERVE_MILLIS);
       try (ClientConnection client = proxy.connect()) {
         for (; System.nanoTime() < until; sent++) {
-          String request = proxy.read(DEADLINE_MILLIS);
-          served += SingleProxy.ask(client, request, DEADLINE_MILLIS).status() == 200 ? 1 : 0;
+          String request = proxy.readRequest(DEADLINE_MILLIS);
+          served += SingleProxy.exchange(client, request, DEADLINE_MILLIS).status() == 200 ? 1 : 0;
           Thread.sleep(INTERVAL_MILLIS);
         }
       }
-      double part = served / (double) sent;
-      assertTrue(part > 0.6, "fraction served: " + part + " of " + sent);
+      double servedFraction = served / (double) sent;
+      assertTrue(servedFraction > 0.6, "fraction served: " + servedFraction + " of " + sent);
     }
   }
 }
--- a/soak/src/test/java/loadbalancer/soak/DiscoveryReturnTest.java
+++ b/soak/src/test/java/loadbalancer/soak/DiscoveryReturnTest.java
@@ -22,26 +22,26 @@
 
   /** Discovery recovers, with a draining endpoint, while the agent has left calls unanswered. */
   @Test
-  void heedsADrainThatComesWithTheReturnOfDiscovery() throws IOException, InterruptedException {
+  void followsADrainPublishedWhenDiscoveryRecovers() throws IOException, InterruptedException {
     Deployment deployment = Deployment.of(1, 3);
     try (SingleProxy proxy = new SingleProxy(folder, deployment, 0, 0, 0).start()) {
       proxy.agent.setDown(true);
       proxy.agent.resetWatches();
-      proxy.agent.awaitIgnoredCalls(4);
+      proxy.agent.awaitIgnoredRequests(4);
       StandInUpstream leaving = proxy.upstreams.get(0);
-      int revision = proxy.list(leaving, EndpointEntry.Phase.DRAINING, 0);
+      int revision = proxy.addChange(leaving, EndpointEntry.Phase.DRAINING, 0);
       long notifiedNanos = System.nanoTime();
-      proxy.agent.learn(revision);
+      proxy.agent.advanceTo(revision);
       proxy.agent.setDown(false);
       serve(proxy);
       long graceNanos = TimeUnit.MILLISECONDS.toNanos(deployment.drainGraceMillis() + SLACK_MILLIS);
-      long late =
+      long lateAttempts =
           proxy.attempts.all().stream()
               .flatMap(List::stream)
               .filter(attempt -> attempt.endpoint().equals(leaving.name()))
               .filter(attempt -> attempt.firstByteNanos() > notifiedNanos + graceNanos)
               .count();
-      assertEquals(0, late, "attempts after the grace");
+      assertEquals(0, lateAttempts, "attempts after the grace");
     }
   }
 
@@ -49,7 +49,7 @@
     long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(SERVE_MILLIS);
     try (ClientConnection client = proxy.connect()) {
       while (System.nanoTime() < until) {
-        SingleProxy.ask(client, proxy.read(DEADLINE_MILLIS), DEADLINE_MILLIS);
+        SingleProxy.exchange(client, proxy.readRequest(DEADLINE_MILLIS), DEADLINE_MILLIS);
       }
     }
   }
--- a/soak/src/test/java/loadbalancer/soak/FloodTest.java
+++ b/soak/src/test/java/loadbalancer/soak/FloodTest.java
@@ -14,10 +14,10 @@
 
   private static final long DEADLINE_MILLIS = 800;
   private static final long SERVE_MILLIS = 3000;
-  private static final int FLOODS = 2;
+  private static final int FLOODING_CLIENTS = 2;
 
   /** Time from SIGTERM to SIGKILL for the longest deadline of the deployment. */
-  private static final long KILL_MILLIS = 2300;
+  private static final long KILL_AFTER_TERM_MILLIS = 2300;
 
   @TempDir Path folder;
 
@@ -40,19 +40,19 @@
     try (SingleProxy proxy = new SingleProxy(folder, Deployment.of(1, 2), 0, 0).start();
         ClientConnection client = proxy.connect()) {
       AtomicBoolean running = new AtomicBoolean(true);
-      for (int i = 0; i < FLOODS; i++) {
+      for (int i = 0; i < FLOODING_CLIENTS; i++) {
         Thread thread = new Thread(() -> flood(proxy, running), "flood");
         thread.setDaemon(true);
         thread.start();
       }
       long until = System.nanoTime() + SERVE_MILLIS * 1_000_000;
       while (System.nanoTime() < until) {
-        String request = proxy.read(DEADLINE_MILLIS);
-        assertEquals(200, SingleProxy.ask(client, request, DEADLINE_MILLIS).status());
+        String request = proxy.readRequest(DEADLINE_MILLIS);
+        assertEquals(200, SingleProxy.exchange(client, request, DEADLINE_MILLIS).status());
         Thread.sleep(20);
       }
       proxy.process.terminate();
-      boolean ended = proxy.process.awaitEnd(KILL_MILLIS);
+      boolean ended = proxy.process.awaitExit(KILL_AFTER_TERM_MILLIS);
       running.set(false);
       assertTrue(ended, "does not end before SIGKILL");
       assertEquals(0, proxy.process.exitValue());
--- a/soak/src/test/java/loadbalancer/soak/InvariantCheckerTest.java
+++ b/soak/src/test/java/loadbalancer/soak/InvariantCheckerTest.java
@@ -13,8 +13,8 @@
 /** Tests that each kind of violation is found, and none in a healthy run. */
 class InvariantCheckerTest {
 
-  private static final long SENT = TimeUnit.SECONDS.toNanos(1000);
-  private static final long MILLI = TimeUnit.MILLISECONDS.toNanos(1);
+  private static final long SENT_NANOS = TimeUnit.SECONDS.toNanos(1000);
+  private static final long MILLI_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
 
   private final Deployment deployment = Deployment.of(2, 4);
   private final AttemptLog attempts = new AttemptLog();
@@ -24,7 +24,7 @@
   private final ProxyHistory history =
       new ProxyHistory() {
         @Override
-        public boolean wasKilledUnder(long sentNanos, long endNanos) {
+        public boolean wasKilledDuring(long sentNanos, long endNanos) {
           return killed;
         }
 
@@ -42,8 +42,8 @@
   /** Returns a request that was served in 20 ms, modified by the change. */
   private RequestRecord request(String kind, Consumer<RequestRecord> change) {
     RequestRecord request = new RequestRecord("t", deployment.kind(kind), 0, 1, 1000);
-    request.sentNanos = SENT;
-    request.endNanos = SENT + 20 * MILLI;
+    request.sentNanos = SENT_NANOS;
+    request.endNanos = SENT_NANOS + 20 * MILLI_NANOS;
     request.outcome = Outcome.RESPONSE;
     request.status = 200;
     request.body = "t by s0";
@@ -52,7 +52,7 @@
   }
 
   private void attempt(long atMillis, long started, long remainingMillis) {
-    long at = SENT + atMillis * MILLI;
+    long at = SENT_NANOS + atMillis * MILLI_NANOS;
     attempts.add(new Attempt("t", "s0", started, at, at, remainingMillis, true, "SERVING"));
   }
 
@@ -71,7 +71,7 @@
     assertEquals(List.of(Rule.DROPPED_REQUEST), rulesOf("read", r -> r.outcome = Outcome.CLOSED));
     assertEquals(
         List.of(Rule.DROPPED_REQUEST), rulesOf("read", r -> r.outcome = Outcome.UNANSWERED));
-    Consumer<RequestRecord> late = r -> r.endNanos = SENT + 1501 * MILLI;
+    Consumer<RequestRecord> late = r -> r.endNanos = SENT_NANOS + 1501 * MILLI_NANOS;
     assertEquals(List.of(Rule.DROPPED_REQUEST), rulesOf("read", late.andThen(r -> r.status = 503)));
     killed = true;
     assertEquals(List.of(), rulesOf("read", r -> r.outcome = Outcome.CLOSED), "by the platform");
@@ -97,7 +97,7 @@
   @Test
   void findsAttemptsAtADrainingEndpoint() {
     EndpointEntry entry = new EndpointEntry("s0", "", EndpointEntry.Phase.DRAINING, 0);
-    notifications.add(0, entry, SENT - 560 * MILLI);
+    notifications.add(0, entry, SENT_NANOS - 560 * MILLI_NANOS);
     attempt(1, 0, 990);
     assertEquals(List.of(Rule.DRAINING_ENDPOINT), rulesOf("read", r -> {}));
   }
@@ -108,7 +108,7 @@
     Consumer<RequestRecord> left = r -> r.outcome = Outcome.LEFT;
     assertEquals(
         List.of(Rule.CLIENT_GONE),
-        rulesOf("read", left.andThen(r -> r.closedNanos = SENT + 20 * MILLI)));
+        rulesOf("read", left.andThen(r -> r.closedNanos = SENT_NANOS + 20 * MILLI_NANOS)));
   }
 
   @Test
@@ -122,9 +122,9 @@
     long startedUnixMillis =
         System.currentTimeMillis()
             - TimeUnit.NANOSECONDS.toMillis(System.nanoTime())
-            + TimeUnit.NANOSECONDS.toMillis(SENT);
+            + TimeUnit.NANOSECONDS.toMillis(SENT_NANOS);
     EndpointEntry entry = new EndpointEntry("s0", "", EndpointEntry.Phase.READY, startedUnixMillis);
-    notifications.add(0, entry, SENT);
+    notifications.add(0, entry, SENT_NANOS);
     // A tenth of 40 requests per second, times 2.5, gives 20 in 2 s, plus a margin of 16.4.
     List<RequestRecord> requests = new ArrayList<>(burst(30, startedUnixMillis));
     assertEquals(List.of(), rules(requests));
@@ -137,12 +137,12 @@
     for (int i = 0; i < count; i++) {
       RequestRecord request =
           new RequestRecord(count + "-" + i, deployment.kind("read"), 0, 1, 1000);
-      request.sentNanos = SENT;
-      request.endNanos = SENT + 20 * MILLI;
+      request.sentNanos = SENT_NANOS;
+      request.endNanos = SENT_NANOS + 20 * MILLI_NANOS;
       request.outcome = Outcome.RESPONSE;
       request.status = 429;
       requests.add(request);
-      long at = SENT + MILLI + i * 1000;
+      long at = SENT_NANOS + MILLI_NANOS + i * 1000;
       attempts.add(new Attempt(request.traceId, "s0", started, at, at, -1, false, ""));
     }
     return requests;
--- a/soak/src/test/java/loadbalancer/soak/LargeListTest.java
+++ b/soak/src/test/java/loadbalancer/soak/LargeListTest.java
@@ -16,21 +16,21 @@
 class LargeListTest {
 
   private static final int INSTANCES = 100;
-  private static final int USUAL = 200;
-  private static final int LARGE = 3200;
+  private static final int USUAL_ENDPOINTS = 200;
+  private static final int LARGE_ENDPOINTS = 3200;
   private static final double FLEET_CAPACITY = 6000;
   private static final int LISTENERS = 8;
-  private static final int RELEASE_MILLIS = 7000;
+  private static final int REPLACEMENT_MILLIS = 7000;
   private static final int SERVE_MILLIS = 4000;
   private static final int REQUEST_INTERVAL_MILLIS = 25;
-  private static final int KEYS = 300;
+  private static final int AFFINITY_KEYS = 300;
 
   @TempDir Path folder;
 
   /** The resources that a proxy used, and the fraction of requests that it served. */
   private record Play(ProcessUsage usage, int connections, double served) {}
 
-  private Play play(int endpoints) throws IOException, InterruptedException {
+  private Play measure(int endpoints) throws IOException, InterruptedException {
     Deployment deployment =
         Deployment.of(INSTANCES, endpoints)
             .withEndpoints(endpoints, FLEET_CAPACITY / endpoints)
@@ -38,9 +38,9 @@
     try (SingleProxy proxy =
         new SingleProxy(folder.resolve("of" + endpoints), deployment, new long[LISTENERS])) {
       for (int i = LISTENERS; i < endpoints; i++) {
-        list(proxy, "e" + i, i, EndpointEntry.Phase.READY, 0);
+        addChange(proxy, "e" + i, i, EndpointEntry.Phase.READY, 0);
       }
-      proxy.agent.learn(proxy.catalogue.revision());
+      proxy.agent.advanceTo(proxy.catalogue.revision());
       proxy.start();
       double served = serve(proxy, endpoints);
       int connections =
@@ -49,7 +49,7 @@
     }
   }
 
-  private static void list(
+  private static void addChange(
       SingleProxy proxy, String name, int index, EndpointEntry.Phase phase, long started) {
     String address = proxy.upstreams.get(index % LISTENERS).address();
     proxy.catalogue.add(new EndpointEntry(name, address, phase, started));
@@ -64,17 +64,18 @@
     int replaced = 0;
     long start = System.nanoTime();
     try (ClientConnection client = proxy.connect()) {
-      for (long now = 0; now < RELEASE_MILLIS + 2 * SERVE_MILLIS; now = millisSince(start)) {
-        double part = Math.min(1, Math.max(0, (now - SERVE_MILLIS) / (double) RELEASE_MILLIS));
-        int due = (int) (part * 0.6 * endpoints);
+      for (long now = 0; now < REPLACEMENT_MILLIS + 2 * SERVE_MILLIS; now = millisSince(start)) {
+        double replacedFraction =
+            Math.min(1, Math.max(0, (now - SERVE_MILLIS) / (double) REPLACEMENT_MILLIS));
+        int due = (int) (replacedFraction * 0.6 * endpoints);
         for (; replaced < due; replaced++) {
           replace(proxy, endpoints, replaced);
         }
-        proxy.agent.learn(proxy.catalogue.revision());
-        String key = "Cookie: sid=" + random.nextInt(KEYS) + "\r\n\r\n";
-        String request = proxy.read(800).replaceFirst("\r\n\r\n$", "\r\n" + key);
+        proxy.agent.advanceTo(proxy.catalogue.revision());
+        String key = "Cookie: sid=" + random.nextInt(AFFINITY_KEYS) + "\r\n\r\n";
+        String request = proxy.readRequest(800).replaceFirst("\r\n\r\n$", "\r\n" + key);
         sent++;
-        ok += SingleProxy.ask(client, request, 800).status() == 200 ? 1 : 0;
+        ok += SingleProxy.exchange(client, request, 800).status() == 200 ? 1 : 0;
         Thread.sleep(REQUEST_INTERVAL_MILLIS);
       }
     }
@@ -87,8 +88,8 @@
 
   private static void replace(SingleProxy proxy, int endpoints, int number) {
     String old = number < LISTENERS ? "s" + number : "e" + number;
-    list(proxy, old, number, EndpointEntry.Phase.GONE, 0);
-    list(
+    addChange(proxy, old, number, EndpointEntry.Phase.GONE, 0);
+    addChange(
         proxy,
         "e" + (endpoints + number),
         number,
@@ -96,16 +97,16 @@
         System.currentTimeMillis());
   }
 
-  private static void assertAtMost(String what, double allowed, double used) {
-    assertTrue(used <= allowed, () -> what + ": " + used + ", allowed: " + allowed);
+  private static void assertAtMost(String quantity, double allowed, double used) {
+    assertTrue(used <= allowed, () -> quantity + ": " + used + ", allowed: " + allowed);
   }
 
   @Test
   void needsLittleMoreWithSixteenTimesTheEndpoints() throws IOException, InterruptedException {
-    Play usual = play(USUAL);
-    Play large = play(LARGE);
+    Play usual = measure(USUAL_ENDPOINTS);
+    Play large = measure(LARGE_ENDPOINTS);
     System.out.println("usual " + usual + ", large " + large);
-    double thousands = LARGE / 1000.0;
+    double thousands = LARGE_ENDPOINTS / 1000.0;
     assertAtMost(
         "processor seconds",
         1.4 * usual.usage.cpuSeconds() + 0.02 + 0.12 * thousands,
--- a/soak/src/test/java/loadbalancer/soak/PipelineTest.java
+++ b/soak/src/test/java/loadbalancer/soak/PipelineTest.java
@@ -15,9 +15,9 @@
 class PipelineTest {
 
   /** Maximum time after the deadline at which a final response may arrive. */
-  private static final long LATE_MILLIS = 500;
+  private static final long MAX_LATE_MILLIS = 500;
 
-  private static final long SHORT_MILLIS = 300;
+  private static final long SHORT_DEADLINE_MILLIS = 300;
 
   @TempDir Path folder;
 
@@ -29,10 +29,11 @@
         ClientConnection client = proxy.connect()) {
       proxy.upstreams.forEach(upstream -> upstream.setMode(StandInUpstream.Mode.HANGING));
       RequestKind publish = deployment.kind("publish");
-      String first = new RequestRecord("first", publish, 0, 0, publish.deadlineMillis()).text();
+      String first = new RequestRecord("first", publish, 0, 0, publish.deadlineMillis()).toHttp();
       long sentNanos = System.nanoTime();
-      client.write(first + SingleProxy.read("second", SHORT_MILLIS));
-      long until = sentNanos + TimeUnit.MILLISECONDS.toNanos(SHORT_MILLIS + LATE_MILLIS);
+      client.write(first + SingleProxy.readRequest("second", SHORT_DEADLINE_MILLIS));
+      long until =
+          sentNanos + TimeUnit.MILLISECONDS.toNanos(SHORT_DEADLINE_MILLIS + MAX_LATE_MILLIS);
       Response firstResponse = client.read(until);
       assertEquals(End.RESPONSE, firstResponse.end());
       assertTrue(firstResponse.status() >= 500 && firstResponse.status() != 503, "may have run");
--- a/soak/src/test/java/loadbalancer/soak/RestartedDiscoveryTest.java
+++ b/soak/src/test/java/loadbalancer/soak/RestartedDiscoveryTest.java
@@ -12,7 +12,7 @@
 class RestartedDiscoveryTest {
 
   /** Time after which the proxy counts as notified of the list of a reachable discovery agent. */
-  private static final long NOTIFIED_MILLIS = 6000;
+  private static final long NOTIFICATION_MILLIS = 6000;
 
   private static final long DEADLINE_MILLIS = 400;
   private static final int REQUESTS = 40;
@@ -20,29 +20,30 @@
   @TempDir Path folder;
 
   @Test
-  void followsListsThatAreNumberedAnew() throws IOException, InterruptedException {
+  void followsListsWhoseRevisionsStartOver() throws IOException, InterruptedException {
     try (SingleProxy proxy = new SingleProxy(folder, Deployment.of(1, 2), 0, 0)) {
       StandInUpstream leaving = proxy.upstreams.get(0);
       StandInUpstream staying = proxy.upstreams.get(1);
       for (int i = 0; i < 20; i++) {
-        proxy.list(staying, EndpointEntry.Phase.READY, 0);
+        proxy.addChange(staying, EndpointEntry.Phase.READY, 0);
       }
-      proxy.agent.learn(proxy.catalogue.revision());
+      proxy.agent.advanceTo(proxy.catalogue.revision());
       proxy.configure(proxy.agent);
       proxy.start();
-      EndpointCatalogue anew = new EndpointCatalogue();
-      anew.add(
+      EndpointCatalogue restartedCatalogue = new EndpointCatalogue();
+      restartedCatalogue.add(
           new EndpointEntry(leaving.name(), leaving.address(), EndpointEntry.Phase.DRAINING, 0));
-      anew.add(new EndpointEntry(staying.name(), staying.address(), EndpointEntry.Phase.READY, 0));
-      try (DiscoveryAgent restarted = proxy.newAgent(anew)) {
+      restartedCatalogue.add(
+          new EndpointEntry(staying.name(), staying.address(), EndpointEntry.Phase.READY, 0));
+      try (DiscoveryAgent restarted = proxy.newAgent(restartedCatalogue)) {
         proxy.configure(restarted);
-        proxy.process.hangUp();
-        Thread.sleep(NOTIFIED_MILLIS);
+        proxy.process.sendHangUp();
+        Thread.sleep(NOTIFICATION_MILLIS);
         long before = proxy.attemptsAt(leaving);
         try (ClientConnection client = proxy.connect()) {
           for (int i = 0; i < REQUESTS; i++) {
-            String request = proxy.read(DEADLINE_MILLIS);
-            assertEquals(200, SingleProxy.ask(client, request, DEADLINE_MILLIS).status());
+            String request = proxy.readRequest(DEADLINE_MILLIS);
+            assertEquals(200, SingleProxy.exchange(client, request, DEADLINE_MILLIS).status());
           }
         }
         long sent = proxy.attemptsAt(leaving) - before;
--- a/soak/src/test/java/loadbalancer/soak/SingleProxy.java
+++ b/soak/src/test/java/loadbalancer/soak/SingleProxy.java
@@ -48,7 +48,7 @@
               group.next(), "s" + upstreams.size(), attempts, UPSTREAM_LATENCY_MILLIS, SEED);
       upstream.start(started);
       upstreams.add(upstream);
-      list(upstream, EndpointEntry.Phase.READY, started);
+      addChange(upstream, EndpointEntry.Phase.READY, started);
     }
     agent = new DiscoveryAgent(group.next(), catalogue);
     configure(agent);
@@ -56,9 +56,9 @@
 
   /**
    * Adds a change to the catalogue and returns its revision. The agent publishes it after {@link
-   * DiscoveryAgent#learn}.
+   * DiscoveryAgent#advanceTo}.
    */
-  int list(StandInUpstream upstream, EndpointEntry.Phase phase, long startedUnixMillis) {
+  int addChange(StandInUpstream upstream, EndpointEntry.Phase phase, long startedUnixMillis) {
     return catalogue.add(
         new EndpointEntry(upstream.name(), upstream.address(), phase, startedUnixMillis));
   }
@@ -69,7 +69,7 @@
             0,
             process.address(),
             discovery.address(),
-            catalogue.complete(catalogue.revision(), false),
+            catalogue.completeList(catalogue.revision(), false),
             SEED));
   }
 
@@ -97,11 +97,11 @@
   }
 
   /** Returns an idempotent request with a unique trace id. */
-  String read(long remainingMillis) {
-    return read("t" + requests++, remainingMillis);
+  String readRequest(long remainingMillis) {
+    return readRequest("t" + requests++, remainingMillis);
   }
 
-  static String read(String traceId, long remainingMillis) {
+  static String readRequest(String traceId, long remainingMillis) {
     return "GET /api HTTP/1.1\r\nHost: backend.local\r\nX-Trace-Id: "
         + traceId
         + "\r\nX-Qos: read\r\nX-Customer: all\r\nX-Expires-In-Ms: "
@@ -110,8 +110,8 @@
   }
 
   /** Sends a request and waits for its response, at most for the given time. */
-  static ClientConnection.Response ask(ClientConnection client, String request, long waitMillis)
-      throws IOException {
+  static ClientConnection.Response exchange(
+      ClientConnection client, String request, long waitMillis) throws IOException {
     client.write(request);
     return client.read(System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(waitMillis));
   }
--- a/soak/src/test/java/loadbalancer/soak/SoakRunTest.java
+++ b/soak/src/test/java/loadbalancer/soak/SoakRunTest.java
@@ -21,19 +21,19 @@
 
   @TempDir Path folder;
 
-  private static PrintStream quiet() {
+  private static PrintStream discardingStream() {
     return new PrintStream(OutputStream.nullOutputStream(), false, StandardCharsets.UTF_8);
   }
 
   @Test
-  void keepsAllPromisesInAShortRunOfAFixedSeed() throws IOException, InterruptedException {
+  void violatesNoRuleInAShortRunWithAFixedSeed() throws IOException, InterruptedException {
     SoakOptions options = new SoakOptions();
     options.home = Path.of(System.getProperty("proxy.home"));
     options.seed = 21;
     options.seconds = SECONDS;
     options.processes = PROCESSES;
-    try (SoakRun run = new SoakRun(options, folder, quiet())) {
-      SoakReport report = run.play();
+    try (SoakRun run = new SoakRun(options, folder, discardingStream())) {
+      SoakReport report = run.run();
       assertEquals(Map.of(), report.violations(), () -> report.firstViolation().toString());
       assertTrue(report.requests().get("status 200") > SECONDS * PROCESSES, "number of requests");
       assertTrue(report.troubles().size() > 5, "number of kinds of disruption");
@@ -41,11 +41,13 @@
   }
 
   @Test
-  void refusesOptionsThatItCannotKeep() {
-    for (String bad : new String[] {"--seconds=9", "--processes=0", "--endpoints=2", "--seed=x"}) {
-      CommandLine command = new CommandLine(new SoakCommand(quiet(), quiet()));
-      command.setErr(new java.io.PrintWriter(quiet()));
-      assertEquals(2, command.execute(bad), bad);
+  void rejectsOptionsOutOfRange() {
+    for (String invalidOption :
+        new String[] {"--seconds=9", "--processes=0", "--endpoints=2", "--seed=x"}) {
+      CommandLine command =
+          new CommandLine(new SoakCommand(discardingStream(), discardingStream()));
+      command.setErr(new java.io.PrintWriter(discardingStream()));
+      assertEquals(2, command.execute(invalidOption), invalidOption);
     }
   }
 }
--- a/soak/src/test/java/loadbalancer/soak/SocketFailureTest.java
+++ b/soak/src/test/java/loadbalancer/soak/SocketFailureTest.java
@@ -59,7 +59,7 @@
         List<ClientConnection> clients = new ArrayList<>();
         for (int i = 0; i < REQUESTS; i++) {
           ClientConnection client = proxy.connect();
-          client.write(proxy.read(DEADLINE_MILLIS));
+          client.write(proxy.readRequest(DEADLINE_MILLIS));
           clients.add(client);
         }
         Thread.sleep(300);
@@ -87,7 +87,7 @@
       List<ClientConnection> clients = new ArrayList<>();
       for (int i = 0; i < REQUESTS; i++) {
         ClientConnection client = proxy.connect();
-        client.write(proxy.read(DEADLINE_MILLIS));
+        client.write(proxy.readRequest(DEADLINE_MILLIS));
         clients.add(client);
       }
       assertAllServed(clients, "interrupted reads");
@@ -103,7 +103,8 @@
       proxy.process.faults().failSome(Call.WAIT, 300_000, Errno.EINTR);
       try (ClientConnection client = proxy.connect()) {
         for (int i = 0; i < REQUESTS; i++) {
-          Response response = SingleProxy.ask(client, proxy.read(DEADLINE_MILLIS), DEADLINE_MILLIS);
+          Response response =
+              SingleProxy.exchange(client, proxy.readRequest(DEADLINE_MILLIS), DEADLINE_MILLIS);
           assertEquals(200, response.status());
         }
       }
--- a/soak/src/test/java/loadbalancer/soak/WallClockTest.java
+++ b/soak/src/test/java/loadbalancer/soak/WallClockTest.java
@@ -19,7 +19,7 @@
   @TempDir Path folder;
 
   /** Returns a proxy whose last endpoint has just started, while the others are warm. */
-  private SingleProxy proxy() throws IOException, InterruptedException {
+  private SingleProxy prepareProxy() throws IOException, InterruptedException {
     long justNow = System.currentTimeMillis() - 500;
     return new SingleProxy(
         folder,
@@ -31,14 +31,14 @@
   }
 
   /** Returns the requests at the started endpoint, relative to the mean of the warm endpoints. */
-  private static double part(SingleProxy proxy, long millis)
+  private static double relativeLoad(SingleProxy proxy, long millis)
       throws IOException, InterruptedException {
     long warmingBefore = proxy.attemptsAt(proxy.upstreams.get(ENDPOINTS - 1));
     long allBefore = proxy.attempts.all().size();
     long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
     try (ClientConnection client = proxy.connect()) {
       while (System.nanoTime() < until) {
-        SingleProxy.ask(client, proxy.read(800), 800);
+        SingleProxy.exchange(client, proxy.readRequest(800), 800);
         Thread.sleep(REQUEST_INTERVAL_MILLIS);
       }
     }
@@ -48,13 +48,13 @@
   }
 
   private void assertWarmsUp(Duration offset) throws IOException, InterruptedException {
-    try (SingleProxy proxy = proxy()) {
+    try (SingleProxy proxy = prepareProxy()) {
       proxy.process.faults().shiftWallClock(offset);
       proxy.start();
-      double first = part(proxy, 1000);
+      double first = relativeLoad(proxy, 1000);
       assertTrue(first < 0.6, () -> "relative load of the starting endpoint is too high: " + first);
       Thread.sleep(SLOW_START_MILLIS);
-      double warm = part(proxy, 1500);
+      double warm = relativeLoad(proxy, 1500);
       assertTrue(warm > 0.6, () -> "relative load of the warm endpoint is too low: " + warm);
     }
   }
