--- a/soak/src/main/java/loadbalancer/soak/ClientWorker.java
+++ b/soak/src/main/java/loadbalancer/soak/ClientWorker.java
@@ -89,7 +89,7 @@
         pipeline();
       } else if (behavior < 11) {
         disconnect();
-        BadClient.check(proxy, deployment, random).ifPresent(violations::add);
+        IncompleteRequestClient.check(proxy, deployment, random).ifPresent(violations::add);
       } else {
         exchange(newRecord(), behavior < 15);
       }
--- a/soak/src/main/java/loadbalancer/soak/Trouble.java
+++ b/soak/src/main/java/loadbalancer/soak/Disruption.java
@@ -9,7 +9,8 @@
  * @param durationMillis the duration, for kinds that last
  * @param variant selects among the variants of a kind
  */
-record Trouble(long atMillis, TroubleKind kind, int target, long durationMillis, int variant) {
+record Disruption(
+    long atMillis, DisruptionKind kind, int target, long durationMillis, int variant) {
 
   @Override
   public String toString() {
--- a/soak/src/main/java/loadbalancer/soak/TroubleMaker.java
+++ b/soak/src/main/java/loadbalancer/soak/DisruptionInjector.java
@@ -12,7 +12,7 @@
 import loadbalancer.soak.FaultControl.Errno;
 
 /** Injects the disruptions of a run, each on a separate thread. */
-final class TroubleMaker implements AutoCloseable {
+final class DisruptionInjector implements AutoCloseable {
 
   private static final int FAILURES_PER_MILLION = 300_000;
   private static final int SHORT_READ_BYTES = 7;
@@ -38,7 +38,8 @@
   private final AtomicInteger outages = new AtomicInteger();
   private final ExecutorService executor = Executors.newCachedThreadPool();
 
-  TroubleMaker(List<ProxyNode> proxies, EndpointFleet endpoints, EndpointCatalogue catalogue) {
+  DisruptionInjector(
+      List<ProxyNode> proxies, EndpointFleet endpoints, EndpointCatalogue catalogue) {
     this.proxies = proxies;
     this.endpoints = endpoints;
     this.catalogue = catalogue;
@@ -50,23 +51,23 @@
   }
 
   /** Starts a disruption and returns without waiting for its end. */
-  void start(Trouble trouble) {
+  void start(Disruption disruption) {
     executor.execute(
         () -> {
           try {
-            inject(trouble);
+            inject(disruption);
           } catch (IOException e) {
-            throw new UncheckedIOException(trouble.toString(), e);
+            throw new UncheckedIOException(disruption.toString(), e);
           } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
           }
         });
   }
 
-  private void inject(Trouble trouble) throws IOException, InterruptedException {
-    ProxyNode proxy = proxies.get(trouble.target() % proxies.size());
-    long millis = trouble.durationMillis();
-    switch (trouble.kind()) {
+  private void inject(Disruption disruption) throws IOException, InterruptedException {
+    ProxyNode proxy = proxies.get(disruption.target() % proxies.size());
+    long millis = disruption.durationMillis();
+    switch (disruption.kind()) {
       case RESTART -> restart(proxy, millis);
       case RESTART_WHILE_ACCEPTING_FAILS -> {
         failAcceptAroundListenerClose(proxy);
@@ -78,7 +79,7 @@
         kill(proxy, millis);
       }
       case KILL_AND_STEP_CLOCK -> {
-        stepClock(proxy, trouble);
+        stepClock(proxy, disruption);
         kill(proxy, millis);
       }
       case RELOAD -> reload(proxy, 1);
@@ -94,17 +95,18 @@
         proxy.agent().setStartsWithCompleteList(true);
         proxy.agent().resetWatches();
       }
-      case RELEASE -> endpoints.replace(trouble.target());
-      case ENDPOINT_RESTART -> endpoints.restart(trouble.target(), millis);
-      case ENDPOINT_MODE -> endpoints.runInMode(trouble.target(), selectMode(trouble), millis);
-      case SYSTEM_CALLS -> failSystemCalls(proxy, trouble);
-      case WALL_CLOCK -> stepClock(proxy, trouble);
+      case RELEASE -> endpoints.replace(disruption.target());
+      case ENDPOINT_RESTART -> endpoints.restart(disruption.target(), millis);
+      case ENDPOINT_MODE ->
+          endpoints.runInMode(disruption.target(), selectMode(disruption), millis);
+      case SYSTEM_CALLS -> failSystemCalls(proxy, disruption);
+      case WALL_CLOCK -> stepClock(proxy, disruption);
       case PAUSE -> pause(proxy, Math.min(MAX_PAUSE_MILLIS, millis));
     }
   }
 
-  private static void stepClock(ProxyNode proxy, Trouble trouble) {
-    Duration offset = CLOCK_STEPS.get(trouble.variant() % CLOCK_STEPS.size());
+  private static void stepClock(ProxyNode proxy, Disruption disruption) {
+    Duration offset = CLOCK_STEPS.get(disruption.variant() % CLOCK_STEPS.size());
     proxy.process().faults().shiftWallClock(offset);
   }
 
@@ -165,28 +167,29 @@
     }
   }
 
-  private static StandInUpstream.Mode selectMode(Trouble trouble) {
-    StandInUpstream.Mode[] modes = StandInUpstream.Mode.values();
-    return modes[1 + trouble.variant() % (modes.length - 1)];
+  private static FakeUpstream.Mode selectMode(Disruption disruption) {
+    FakeUpstream.Mode[] modes = FakeUpstream.Mode.values();
+    return modes[1 + disruption.variant() % (modes.length - 1)];
   }
 
-  private static void failSystemCalls(ProxyNode proxy, Trouble trouble)
+  private static void failSystemCalls(ProxyNode proxy, Disruption disruption)
       throws InterruptedException {
     FaultControl faults = proxy.process().faults();
     List<Errno> exhaustionErrors = List.of(Errno.ENFILE, Errno.EMFILE, Errno.ENOBUFS);
-    Errno exhaustionError = exhaustionErrors.get(trouble.variant() % exhaustionErrors.size());
-    Call call = Call.values()[trouble.variant() / exhaustionErrors.size() % Call.values().length];
-    boolean once = trouble.target() % 2 == 0;
+    Errno exhaustionError = exhaustionErrors.get(disruption.variant() % exhaustionErrors.size());
+    Call call =
+        Call.values()[disruption.variant() / exhaustionErrors.size() % Call.values().length];
+    boolean isFirstForm = disruption.target() % 2 == 0;
     switch (call) {
-      case ACCEPT, SOCKET -> failOnceOrAll(faults, call, exhaustionError, once);
+      case ACCEPT, SOCKET -> failOnceOrAll(faults, call, exhaustionError, isFirstForm);
       case BIND -> faults.failNext(call, 2, exhaustionError); // Takes effect at the next start.
-      case CONNECT -> faults.failAll(call, once ? Errno.EADDRNOTAVAIL : Errno.ENETUNREACH);
-      case READ -> interruptOrCutShort(faults, call, once, SHORT_READ_BYTES);
-      case WRITE -> interruptOrCutShort(faults, call, once, SHORT_WRITE_BYTES);
+      case CONNECT -> faults.failAll(call, isFirstForm ? Errno.EADDRNOTAVAIL : Errno.ENETUNREACH);
+      case READ -> interruptOrCutShort(faults, call, isFirstForm, SHORT_READ_BYTES);
+      case WRITE -> interruptOrCutShort(faults, call, isFirstForm, SHORT_WRITE_BYTES);
       case WAIT -> faults.failSome(call, FAILURES_PER_MILLION, Errno.EINTR);
     }
     boolean isTolerable = call == Call.READ || call == Call.WRITE || call == Call.WAIT;
-    long millis = trouble.durationMillis();
+    long millis = disruption.durationMillis();
     Thread.sleep(isTolerable ? millis : Math.min(MAX_CALL_FAILURE_MILLIS, millis));
     if (call != Call.BIND) {
       faults.clear(call);
--- a/soak/src/main/java/loadbalancer/soak/TroubleKind.java
+++ b/soak/src/main/java/loadbalancer/soak/DisruptionKind.java
@@ -1,7 +1,7 @@
 package loadbalancer.soak;
 
 /** The kinds of disruption that a run injects into the fleet. */
-enum TroubleKind {
+enum DisruptionKind {
   /** A proxy receives SIGTERM, then SIGKILL if it has not ended in time, and is restarted. */
   RESTART,
   /** A proxy is restarted as above, and accept fails around the time its listener closes. */
--- a/soak/src/main/java/loadbalancer/soak/Schedule.java
+++ b/soak/src/main/java/loadbalancer/soak/DisruptionSchedule.java
@@ -7,7 +7,7 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /** Draws the disruptions of a run from its seed, such that several overlap at any time. */
-final class Schedule {
+final class DisruptionSchedule {
 
   /** Time without disruptions at the start, in which the proxies learn the usual load. */
   private static final long INITIAL_QUIET_MILLIS = 2000;
@@ -31,7 +31,7 @@
    */
   private static final double EXTRA_SYSTEM_CALLS_FRACTION = 0.25;
 
-  private Schedule() {}
+  private DisruptionSchedule() {}
 
   /**
    * Draws the disruptions of a run.
@@ -39,29 +39,30 @@
    * @param runMillis the length of the run
    * @param processes the number of proxies; the rate of disruptions grows with it
    */
-  static List<Trouble> draw(long seed, long runMillis, int processes) {
+  static List<Disruption> draw(long seed, long runMillis, int processes) {
     UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
-    List<Trouble> troubles = new ArrayList<>();
+    List<Disruption> disruptions = new ArrayList<>();
     double perMilli = MEAN_OVERLAPPING * Math.max(1, processes / 8.0) / MEAN_DURATION_MILLIS;
     long at = INITIAL_QUIET_MILLIS;
     while (at < runMillis - FINAL_QUIET_MILLIS) {
-      troubles.add(drawOne(random, at));
+      disruptions.add(drawOne(random, at));
       boolean isCloseToNext = random.nextDouble() < CLOSE_FRACTION;
       at +=
           isCloseToNext
               ? random.nextLong(CLOSE_INTERVAL_MILLIS)
               : 1 + (long) (-Math.log(1 - random.nextDouble()) / perMilli);
     }
-    troubles.sort(Comparator.comparingLong(Trouble::atMillis));
-    return troubles;
+    disruptions.sort(Comparator.comparingLong(Disruption::atMillis));
+    return disruptions;
   }
 
-  private static Trouble drawOne(UniformRandomProvider random, long at) {
-    TroubleKind[] kinds = TroubleKind.values();
+  private static Disruption drawOne(UniformRandomProvider random, long at) {
+    DisruptionKind[] kinds = DisruptionKind.values();
     boolean systemCalls = random.nextDouble() < EXTRA_SYSTEM_CALLS_FRACTION;
-    TroubleKind kind = systemCalls ? TroubleKind.SYSTEM_CALLS : kinds[random.nextInt(kinds.length)];
+    DisruptionKind kind =
+        systemCalls ? DisruptionKind.SYSTEM_CALLS : kinds[random.nextInt(kinds.length)];
     long duration = MIN_DURATION_MILLIS + random.nextLong(2 * MEAN_DURATION_MILLIS);
-    return new Trouble(
+    return new Disruption(
         at, kind, random.nextInt(RANDOM_BOUND), duration, random.nextInt(RANDOM_BOUND));
   }
 }
--- a/soak/src/main/java/loadbalancer/soak/EndpointFleet.java
+++ b/soak/src/main/java/loadbalancer/soak/EndpointFleet.java
@@ -15,8 +15,8 @@
   private final EndpointCatalogue catalogue;
   private final AttemptLog attempts;
   private final IntConsumer onPublish;
-  private final List<StandInUpstream> all = new ArrayList<>();
-  private final List<StandInUpstream> serving = new ArrayList<>();
+  private final List<FakeUpstream> all = new ArrayList<>();
+  private final List<FakeUpstream> serving = new ArrayList<>();
   private int nextNumber;
 
   /**
@@ -39,10 +39,10 @@
     }
   }
 
-  private synchronized StandInUpstream add(long startedUnixMillis) {
+  private synchronized FakeUpstream add(long startedUnixMillis) {
     int number = nextNumber++;
-    StandInUpstream upstream =
-        new StandInUpstream(group.next(), "s" + number, attempts, LATENCY_MILLIS, number);
+    FakeUpstream upstream =
+        new FakeUpstream(group.next(), "s" + number, attempts, LATENCY_MILLIS, number);
     upstream.start(startedUnixMillis);
     all.add(upstream);
     serving.add(upstream);
@@ -50,26 +50,26 @@
     return upstream;
   }
 
-  private void publish(StandInUpstream upstream, EndpointEntry.Phase phase, long started) {
+  private void publish(FakeUpstream upstream, EndpointEntry.Phase phase, long started) {
     onPublish.accept(
         catalogue.add(new EndpointEntry(upstream.name(), upstream.address(), phase, started)));
   }
 
   /** Removes an upstream from the serving ones and returns it; null if too few are serving. */
-  private synchronized StandInUpstream removeFromServing(int target) {
+  private synchronized FakeUpstream removeFromServing(int target) {
     if (serving.size() <= all.size() / 2 || serving.size() < 3) {
       return null;
     }
     return serving.remove(target % serving.size());
   }
 
-  private synchronized void returnToServing(StandInUpstream upstream) {
+  private synchronized void returnToServing(FakeUpstream upstream) {
     serving.add(upstream);
   }
 
   /** Drains and removes an upstream, then adds a new one. */
   void replace(int target) throws InterruptedException {
-    StandInUpstream leaving = removeFromServing(target);
+    FakeUpstream leaving = removeFromServing(target);
     if (leaving == null) {
       return;
     }
@@ -85,11 +85,11 @@
 
   /** Kills an upstream and restarts it after a time, so that it has to warm up. */
   void restart(int target, long downMillis) throws InterruptedException {
-    StandInUpstream upstream = removeFromServing(target);
+    FakeUpstream upstream = removeFromServing(target);
     if (upstream != null) {
       upstream.kill();
       Thread.sleep(downMillis);
-      upstream.setMode(StandInUpstream.Mode.SERVING);
+      upstream.setMode(FakeUpstream.Mode.SERVING);
       long now = System.currentTimeMillis();
       upstream.start(now);
       publish(upstream, EndpointEntry.Phase.READY, now);
@@ -98,18 +98,18 @@
   }
 
   /** Switches an upstream to a mode for a time. */
-  void runInMode(int target, StandInUpstream.Mode mode, long millis) throws InterruptedException {
-    StandInUpstream upstream = removeFromServing(target);
+  void runInMode(int target, FakeUpstream.Mode mode, long millis) throws InterruptedException {
+    FakeUpstream upstream = removeFromServing(target);
     if (upstream != null) {
       upstream.setMode(mode);
       Thread.sleep(millis);
-      upstream.setMode(StandInUpstream.Mode.SERVING);
+      upstream.setMode(FakeUpstream.Mode.SERVING);
       returnToServing(upstream);
     }
   }
 
   @Override
   public synchronized void close() {
-    all.forEach(StandInUpstream::close);
+    all.forEach(FakeUpstream::close);
   }
 }
--- a/soak/src/main/java/loadbalancer/soak/StandInUpstream.java
+++ b/soak/src/main/java/loadbalancer/soak/FakeUpstream.java
@@ -20,7 +20,7 @@
  * A simulated upstream server. It logs the requests that reach it and responds according to its
  * mode. It runs on one event loop; the methods for callers may be called from any thread.
  */
-final class StandInUpstream implements AutoCloseable {
+final class FakeUpstream implements AutoCloseable {
 
   /** The behavior of an upstream towards the requests that it receives. */
   enum Mode {
@@ -57,7 +57,7 @@
   private int closedConnections;
 
   /** Creates an upstream that does not listen yet. */
-  StandInUpstream(EventLoop loop, String name, AttemptLog log, long latencyMillis, long seed) {
+  FakeUpstream(EventLoop loop, String name, AttemptLog log, long latencyMillis, long seed) {
     this.loop = loop;
     this.name = name;
     this.log = log;
@@ -97,14 +97,14 @@
   private void initialize(Channel channel) {
     connections.add(channel);
     acceptedConnections = connections.size() + closedConnections;
-    FirstByteClock clock = new FirstByteClock();
+    FirstByteRecorder recorder = new FirstByteRecorder();
     channel
         .pipeline()
         .addLast(
-            clock,
+            recorder,
             new HttpRequestDecoder(),
             new HttpObjectAggregator(MAX_REQUEST_BYTES),
-            new RequestHandler(clock));
+            new RequestHandler(recorder));
   }
 
   /** Behaves as a killed process: resets its connections and refuses new ones. */
@@ -121,7 +121,7 @@
   }
 
   /** Records when the first byte of a request arrived. */
-  private static final class FirstByteClock extends ChannelInboundHandlerAdapter {
+  private static final class FirstByteRecorder extends ChannelInboundHandlerAdapter {
 
     private long firstByteNanos;
 
@@ -140,15 +140,15 @@
 
   private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
 
-    private final FirstByteClock clock;
+    private final FirstByteRecorder recorder;
 
-    RequestHandler(FirstByteClock clock) {
-      this.clock = clock;
+    RequestHandler(FirstByteRecorder recorder) {
+      this.recorder = recorder;
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
-      long firstByteNanos = clock.takeFirstByteNanos();
+      long firstByteNanos = recorder.takeFirstByteNanos();
       String traceId = request.headers().get("X-Trace-Id");
       if (traceId == null) {
         write(context.channel(), "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
--- a/soak/src/main/java/loadbalancer/soak/BadClient.java
+++ b/soak/src/main/java/loadbalancer/soak/IncompleteRequestClient.java
@@ -9,11 +9,11 @@
  * A client that sends part of a request and keeps the connection open. The proxy must respond with
  * an error or close the connection within 3 s.
  */
-final class BadClient {
+final class IncompleteRequestClient {
 
   private static final long MAX_RESPONSE_MILLIS = 3200;
 
-  private BadClient() {}
+  private IncompleteRequestClient() {}
 
   /**
    * Sends part of a request to the proxy, if it accepts connections. Returns a violation if the
--- a/soak/src/main/java/loadbalancer/soak/ProxyLife.java
+++ b/soak/src/main/java/loadbalancer/soak/ProxyEventLog.java
@@ -8,7 +8,7 @@
  * Log of the signals sent to one proxy, through all its incarnations, and of the violations found
  * in its process. Thread-safe.
  */
-final class ProxyLife implements ProxyHistory {
+final class ProxyEventLog implements ProxyHistory {
 
   /**
    * A request that is sent later than this after SIGTERM must be answered even if the SIGKILL that
@@ -23,7 +23,7 @@
   private static final long MAX_CLOCK_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
   /** A time interval between two values of {@link System#nanoTime()}. */
-  record Span(long fromNanos, long toNanos) {
+  record Interval(long fromNanos, long toNanos) {
     boolean overlaps(long from, long to) {
       return from <= toNanos && to >= fromNanos;
     }
@@ -31,9 +31,9 @@
 
   private final int index;
   private final long killAfterTermNanos;
-  private final List<Span> kills = new ArrayList<>();
+  private final List<Interval> kills = new ArrayList<>();
   private final List<Long> terminations = new ArrayList<>();
-  private final List<Span> pauses = new ArrayList<>();
+  private final List<Interval> pauses = new ArrayList<>();
   private final List<Violation> violations = new ArrayList<>();
 
   /**
@@ -41,12 +41,12 @@
    *
    * @param killAfterTermNanos the time after SIGTERM at which SIGKILL is due
    */
-  ProxyLife(int index, long killAfterTermNanos) {
+  ProxyEventLog(int index, long killAfterTermNanos) {
     this.index = index;
     this.killAfterTermNanos = killAfterTermNanos;
   }
 
-  synchronized void recordKill(Span span) {
+  synchronized void recordKill(Interval span) {
     kills.add(span);
   }
 
@@ -54,7 +54,7 @@
     terminations.add(atNanos);
   }
 
-  synchronized void recordPause(Span span) {
+  synchronized void recordPause(Interval span) {
     pauses.add(span);
   }
 
--- a/soak/src/main/java/loadbalancer/soak/ProxyNode.java
+++ b/soak/src/main/java/loadbalancer/soak/ProxyNode.java
@@ -34,7 +34,7 @@
   private final EndpointCatalogue catalogue;
   private final NotificationLog notifications;
   private final EventLoop loop;
-  private final ProxyLife eventLog;
+  private final ProxyEventLog eventLog;
   private DiscoveryAgent agent;
   private int deliveredRevision;
   private long notNotifiedUntilNanos;
@@ -56,14 +56,14 @@
     this.catalogue = catalogue;
     this.notifications = notifications;
     this.loop = loop;
-    eventLog = new ProxyLife(index, TimeUnit.MILLISECONDS.toNanos(killAfterTermMillis()));
+    eventLog = new ProxyEventLog(index, TimeUnit.MILLISECONDS.toNanos(killAfterTermMillis()));
     agent = new DiscoveryAgent(loop, catalogue);
     notNotifiedUntilNanos = System.nanoTime();
     recordDelivery(catalogue.revision());
   }
 
   /** Returns the log of signals sent to the proxy and of violations found in its process. */
-  ProxyLife eventLog() {
+  ProxyEventLog eventLog() {
     return eventLog;
   }
 
@@ -186,7 +186,7 @@
   private void kill() {
     long from = System.nanoTime();
     process.close();
-    eventLog.recordKill(new ProxyLife.Span(from, System.nanoTime()));
+    eventLog.recordKill(new ProxyEventLog.Interval(from, System.nanoTime()));
   }
 
   /** Sends SIGTERM, then SIGKILL if the process has not ended in time, and restarts it. */
@@ -228,7 +228,7 @@
     process.sendSignal("STOP");
     Thread.sleep(millis);
     process.sendSignal("CONT");
-    eventLog.recordPause(new ProxyLife.Span(from, System.nanoTime()));
+    eventLog.recordPause(new ProxyEventLog.Interval(from, System.nanoTime()));
   }
 
   /** Records a violation if the process has ended without being terminated or killed. */
--- a/soak/src/main/java/loadbalancer/soak/SoakCommand.java
+++ b/soak/src/main/java/loadbalancer/soak/SoakCommand.java
@@ -45,9 +45,9 @@
 
   @Override
   public Integer call() throws IOException, InterruptedException {
-    String problem = options.validationError() == null ? memoryError() : options.validationError();
-    if (problem != null) {
-      err.println(problem);
+    String error = options.validationError() == null ? memoryError() : options.validationError();
+    if (error != null) {
+      err.println(error);
       return FAILED;
     }
     Path folder =
--- a/soak/src/main/java/loadbalancer/soak/SoakReport.java
+++ b/soak/src/main/java/loadbalancer/soak/SoakReport.java
@@ -51,12 +51,13 @@
   static SoakReport of(
       SoakOptions options,
       List<RequestRecord> requests,
-      List<Trouble> troubles,
+      List<Disruption> disruptions,
       List<Violation> violations,
-      History history)
+      ViolationHistory history)
       throws IOException {
     Map<String, Long> disruptionsByKind = new TreeMap<>();
-    troubles.forEach(trouble -> disruptionsByKind.merge(trouble.kind().toString(), 1L, Long::sum));
+    disruptions.forEach(
+        disruption -> disruptionsByKind.merge(disruption.kind().toString(), 1L, Long::sum));
     Map<String, Long> violationsByRule = new TreeMap<>();
     violations.forEach(
         violation -> violationsByRule.merge(violation.rule().toString(), 1L, Long::sum));
@@ -74,7 +75,7 @@
   }
 
   private static List<FirstViolation> firstOfEachOtherRule(
-      List<Violation> violations, History history) throws IOException {
+      List<Violation> violations, ViolationHistory history) throws IOException {
     List<FirstViolation> firsts = new ArrayList<>();
     Set<Violation.Rule> seen = EnumSet.noneOf(Violation.Rule.class);
     for (Violation violation : violations) {
@@ -85,7 +86,8 @@
     return firsts;
   }
 
-  private static FirstViolation first(Violation violation, History history) throws IOException {
+  private static FirstViolation first(Violation violation, ViolationHistory history)
+      throws IOException {
     return new FirstViolation(
         violation.rule().toString(),
         violation.traceId(),
--- a/soak/src/main/java/loadbalancer/soak/SoakRun.java
+++ b/soak/src/main/java/loadbalancer/soak/SoakRun.java
@@ -41,7 +41,7 @@
   private final List<ProxyNode> proxies = new ArrayList<>();
   private final List<ClientWorker> workers = new ArrayList<>();
   private final EndpointFleet endpoints;
-  private final TroubleMaker disruptionInjector;
+  private final DisruptionInjector disruptionInjector;
 
   /**
    * Prepares a run.
@@ -62,7 +62,7 @@
           new ProxyProcess(home, folder.resolve("n" + i), library, options.seed + i);
       proxies.add(new ProxyNode(i, deployment, process, catalogue, notifications, group.next()));
     }
-    disruptionInjector = new TroubleMaker(proxies, endpoints, catalogue);
+    disruptionInjector = new DisruptionInjector(proxies, endpoints, catalogue);
   }
 
   /** Delivers a revision to each agent after a random delay, unless discovery is down by then. */
@@ -82,19 +82,20 @@
   /** Executes the run, checks the invariants and returns the report. */
   SoakReport run() throws IOException, InterruptedException {
     startAll();
-    List<Trouble> troubles =
-        Schedule.draw(options.seed, TimeUnit.SECONDS.toMillis(options.seconds), options.processes);
+    List<Disruption> disruptions =
+        DisruptionSchedule.draw(
+            options.seed, TimeUnit.SECONDS.toMillis(options.seconds), options.processes);
     AtomicBoolean running = new AtomicBoolean(true);
     List<Thread> clients = startClients(running);
-    long start = System.nanoTime();
-    injectDisruptions(troubles, start);
+    long startNanos = System.nanoTime();
+    injectDisruptions(disruptions, startNanos);
     running.set(false);
     for (Thread client : clients) {
       client.join();
     }
     disruptionInjector.close();
     terminateAll();
-    return createReport(troubles, start);
+    return createReport(disruptions, startNanos);
   }
 
   private void startAll() throws IOException, InterruptedException {
@@ -145,13 +146,14 @@
     return threads;
   }
 
-  private void injectDisruptions(List<Trouble> troubles, long start) throws InterruptedException {
+  private void injectDisruptions(List<Disruption> disruptions, long startNanos)
+      throws InterruptedException {
     long endMillis = TimeUnit.SECONDS.toMillis(options.seconds);
     long nextProgress = PROGRESS_INTERVAL_MILLIS;
     int next = 0;
-    for (long now = 0; now < endMillis; now = millisSince(start)) {
-      while (next < troubles.size() && troubles.get(next).atMillis() <= now) {
-        disruptionInjector.start(troubles.get(next++));
+    for (long now = 0; now < endMillis; now = millisSince(startNanos)) {
+      while (next < disruptions.size() && disruptions.get(next).atMillis() <= now) {
+        disruptionInjector.start(disruptions.get(next++));
       }
       proxies.forEach(ProxyNode::checkForCrash);
       if (now >= nextProgress) {
@@ -164,8 +166,8 @@
     }
   }
 
-  private static long millisSince(long start) {
-    return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - start);
+  private static long millisSince(long startNanos) {
+    return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos);
   }
 
   /** Shuts all proxies down as a planned restart does. */
@@ -191,7 +193,8 @@
     }
   }
 
-  private SoakReport createReport(List<Trouble> troubles, long start) throws IOException {
+  private SoakReport createReport(List<Disruption> disruptions, long startNanos)
+      throws IOException {
     List<RequestRecord> requests = new ArrayList<>();
     workers.forEach(worker -> requests.addAll(worker.records()));
     InvariantChecker checker =
@@ -207,8 +210,9 @@
       violations.addAll(LogChecker.check(proxy));
     }
     violations.sort(Comparator.comparingLong(Violation::atNanos));
-    History history = new History(requests, attempts, notifications, proxies, troubles, start);
-    return SoakReport.of(options, requests, troubles, violations, history);
+    ViolationHistory history =
+        new ViolationHistory(requests, attempts, notifications, proxies, disruptions, startNanos);
+    return SoakReport.of(options, requests, disruptions, violations, history);
   }
 
   @Override
--- a/soak/src/main/java/loadbalancer/soak/History.java
+++ b/soak/src/main/java/loadbalancer/soak/ViolationHistory.java
@@ -6,12 +6,12 @@
 import java.util.concurrent.TimeUnit;
 
 /** Describes the events that led to a violation: the course of the request and the disruptions. */
-record History(
+record ViolationHistory(
     List<RequestRecord> requests,
     AttemptLog attempts,
     NotificationLog notifications,
     List<ProxyNode> proxies,
-    List<Trouble> troubles,
+    List<Disruption> disruptions,
     long startNanos) {
 
   private static final long DISRUPTION_LOOKBACK_MILLIS = 8000;
@@ -26,9 +26,9 @@
       }
     }
     long at = violation.atNanos() == Long.MAX_VALUE ? Long.MAX_VALUE : millis(violation.atNanos());
-    for (Trouble trouble : troubles) {
-      if (trouble.atMillis() <= at && trouble.atMillis() > at - DISRUPTION_LOOKBACK_MILLIS) {
-        lines.add("disruption " + trouble);
+    for (Disruption disruption : disruptions) {
+      if (disruption.atMillis() <= at && disruption.atMillis() > at - DISRUPTION_LOOKBACK_MILLIS) {
+        lines.add("disruption " + disruption);
       }
     }
     return lines;
--- a/soak/src/test/java/loadbalancer/soak/DiscoveryReturnTest.java
+++ b/soak/src/test/java/loadbalancer/soak/DiscoveryRecoveryTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Tests that a change published when discovery recovers takes effect immediately. */
-class DiscoveryReturnTest {
+class DiscoveryRecoveryTest {
 
   private static final long DEADLINE_MILLIS = 400;
   private static final long SERVE_MILLIS = 1500;
@@ -28,7 +28,7 @@
       proxy.agent.setDown(true);
       proxy.agent.resetWatches();
       proxy.agent.awaitIgnoredRequests(4);
-      StandInUpstream leaving = proxy.upstreams.get(0);
+      FakeUpstream leaving = proxy.upstreams.get(0);
       int revision = proxy.addChange(leaving, EndpointEntry.Phase.DRAINING, 0);
       long notifiedNanos = System.nanoTime();
       proxy.agent.advanceTo(revision);
--- a/soak/src/test/java/loadbalancer/soak/LargeListTest.java
+++ b/soak/src/test/java/loadbalancer/soak/LargeListTest.java
@@ -28,9 +28,9 @@
   @TempDir Path folder;
 
   /** The resources that a proxy used, and the fraction of requests that it served. */
-  private record Play(ProcessUsage usage, int connections, double served) {}
+  private record Measurement(ProcessUsage usage, int connections, double served) {}
 
-  private Play measure(int endpoints) throws IOException, InterruptedException {
+  private Measurement measure(int endpoints) throws IOException, InterruptedException {
     Deployment deployment =
         Deployment.of(INSTANCES, endpoints)
             .withEndpoints(endpoints, FLEET_CAPACITY / endpoints)
@@ -43,9 +43,8 @@
       proxy.agent.advanceTo(proxy.catalogue.revision());
       proxy.start();
       double served = serve(proxy, endpoints);
-      int connections =
-          proxy.upstreams.stream().mapToInt(StandInUpstream::acceptedConnections).sum();
-      return new Play(proxy.process.usage(), connections, served);
+      int connections = proxy.upstreams.stream().mapToInt(FakeUpstream::acceptedConnections).sum();
+      return new Measurement(proxy.process.usage(), connections, served);
     }
   }
 
@@ -103,8 +102,8 @@
 
   @Test
   void needsLittleMoreWithSixteenTimesTheEndpoints() throws IOException, InterruptedException {
-    Play usual = measure(USUAL_ENDPOINTS);
-    Play large = measure(LARGE_ENDPOINTS);
+    Measurement usual = measure(USUAL_ENDPOINTS);
+    Measurement large = measure(LARGE_ENDPOINTS);
     System.out.println("usual " + usual + ", large " + large);
     double thousands = LARGE_ENDPOINTS / 1000.0;
     assertAtMost(
--- a/soak/src/test/java/loadbalancer/soak/PipelineTest.java
+++ b/soak/src/test/java/loadbalancer/soak/PipelineTest.java
@@ -27,7 +27,7 @@
     Deployment deployment = Deployment.of(1, 2);
     try (SingleProxy proxy = new SingleProxy(folder, deployment, 0, 0).start();
         ClientConnection client = proxy.connect()) {
-      proxy.upstreams.forEach(upstream -> upstream.setMode(StandInUpstream.Mode.HANGING));
+      proxy.upstreams.forEach(upstream -> upstream.setMode(FakeUpstream.Mode.HANGING));
       RequestKind publish = deployment.kind("publish");
       String first = new RequestRecord("first", publish, 0, 0, publish.deadlineMillis()).toHttp();
       long sentNanos = System.nanoTime();
--- a/soak/src/test/java/loadbalancer/soak/RestartedDiscoveryTest.java
+++ b/soak/src/test/java/loadbalancer/soak/RestartedDiscoveryTest.java
@@ -22,8 +22,8 @@
   @Test
   void followsListsWhoseRevisionsStartOver() throws IOException, InterruptedException {
     try (SingleProxy proxy = new SingleProxy(folder, Deployment.of(1, 2), 0, 0)) {
-      StandInUpstream leaving = proxy.upstreams.get(0);
-      StandInUpstream staying = proxy.upstreams.get(1);
+      FakeUpstream leaving = proxy.upstreams.get(0);
+      FakeUpstream staying = proxy.upstreams.get(1);
       for (int i = 0; i < 20; i++) {
         proxy.addChange(staying, EndpointEntry.Phase.READY, 0);
       }
--- a/soak/src/test/java/loadbalancer/soak/SingleProxy.java
+++ b/soak/src/test/java/loadbalancer/soak/SingleProxy.java
@@ -24,7 +24,7 @@
 
   final EndpointCatalogue catalogue = new EndpointCatalogue();
   final AttemptLog attempts = new AttemptLog();
-  final List<StandInUpstream> upstreams = new ArrayList<>();
+  final List<FakeUpstream> upstreams = new ArrayList<>();
   final ProxyProcess process;
   final DiscoveryAgent agent;
   private final Deployment deployment;
@@ -43,8 +43,8 @@
     Files.createDirectories(folder);
     process = new ProxyProcess(HOME, folder.resolve("n0"), FaultLibrary.build(HOME, folder), SEED);
     for (long started : startedUnixMillis) {
-      StandInUpstream upstream =
-          new StandInUpstream(
+      FakeUpstream upstream =
+          new FakeUpstream(
               group.next(), "s" + upstreams.size(), attempts, UPSTREAM_LATENCY_MILLIS, SEED);
       upstream.start(started);
       upstreams.add(upstream);
@@ -58,7 +58,7 @@
    * Adds a change to the catalogue and returns its revision. The agent publishes it after {@link
    * DiscoveryAgent#advanceTo}.
    */
-  int addChange(StandInUpstream upstream, EndpointEntry.Phase phase, long startedUnixMillis) {
+  int addChange(FakeUpstream upstream, EndpointEntry.Phase phase, long startedUnixMillis) {
     return catalogue.add(
         new EndpointEntry(upstream.name(), upstream.address(), phase, startedUnixMillis));
   }
@@ -117,7 +117,7 @@
   }
 
   /** Returns the number of attempts that have reached an upstream. */
-  long attemptsAt(StandInUpstream upstream) {
+  long attemptsAt(FakeUpstream upstream) {
     return attempts.all().stream()
         .flatMap(List::stream)
         .filter(attempt -> attempt.endpoint().equals(upstream.name()))
@@ -128,7 +128,7 @@
   public void close() {
     process.close();
     agent.close();
-    upstreams.forEach(StandInUpstream::close);
+    upstreams.forEach(FakeUpstream::close);
     group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
   }
 }
