--- a/soak/src/main/java/loadbalancer/soak/ClientWorker.java
+++ b/soak/src/main/java/loadbalancer/soak/ClientWorker.java
@@ -26,12 +26,12 @@
   private final AttemptLog attempts;
   private final UniformRandomProvider random;
   private final double meanGapMillis;
-  private final AtomicLong nextTraceNumber;
+  private final AtomicLong lastTraceNumber;
   private final BooleanSupplier running;
   private final List<RequestRecord> records = new ArrayList<>();
   private final List<Violation> violations = new ArrayList<>();
   private ClientConnection connection;
-  private int connectedIncarnation; // incarnation of the proxy
+  private int connectedIncarnation;
   private boolean hasSentRequest;
   private long lastResponseNanos;
 
@@ -41,13 +41,13 @@
       AttemptLog attempts,
       UniformRandomProvider random,
       double requestsPerSecond,
-      AtomicLong nextTraceNumber,
+      AtomicLong lastTraceNumber,
       BooleanSupplier running) {
     this.proxy = proxy;
     this.deployment = deployment;
     this.attempts = attempts;
     this.random = random;
-    this.nextTraceNumber = nextTraceNumber;
+    this.lastTraceNumber = lastTraceNumber;
     this.running = running;
     meanGapMillis = TimeUnit.SECONDS.toMillis(1) / requestsPerSecond;
   }
@@ -128,7 +128,7 @@
   private RequestRecord newRecord() {
     RequestKind kind = deployment.kinds().get(random.nextInt(deployment.kinds().size()));
     long remaining = kind.deadlineMillis() * (50 + random.nextInt(51)) / 100;
-    String traceId = "q" + nextTraceNumber.incrementAndGet();
+    String traceId = "q" + lastTraceNumber.incrementAndGet();
     RequestRecord record =
         new RequestRecord(traceId, kind, proxy.index(), proxy.incarnation(), remaining);
     records.add(record);
@@ -164,7 +164,7 @@
     }
   }
 
-  /** Returns whether the proxy closed the connection, as it may, before it read the request. */
+  /** Returns whether a permitted close crossed the request, so that the proxy did not read it. */
   private boolean wasClosedBeforeRead(RequestRecord record) {
     boolean canBeClosed =
         proxy.isEndingOrDown()
@@ -176,9 +176,9 @@
         && attempts.of(record.traceId).isEmpty();
   }
 
-  /** Sends a request that was not read again, on another connection. */
+  /** Sends a request again on another connection, as a client does whose request was not read. */
   private void resend(RequestRecord record) throws IOException {
-    record.events.add("connection closed before the request was read, sent again");
+    record.events.add("connection closed before it was read, sent again on another connection");
     record.outcome = Outcome.NOT_SENT;
     if (connect()) {
       send(record, false);
@@ -213,10 +213,7 @@
     record.outcome = Outcome.LEFT;
   }
 
-  /**
-   * Sends several requests at once. Requests after a close of the connection count as lost only if
-   * they have reached an upstream.
-   */
+  /** Sends several requests at once. After a close, those without an attempt count as not sent. */
   private void pipeline() throws IOException {
     List<RequestRecord> burst = new ArrayList<>();
     StringBuilder text = new StringBuilder();
@@ -242,11 +239,10 @@
     }
   }
 
-  /** Marks the first request as not sent if the proxy closed the connection before reading it. */
+  /** Marks the first request as not sent if a close crossed the burst, so that none was read. */
   private void markIfClosedBeforeRead(List<RequestRecord> burst, RequestRecord record) {
     if (record == burst.get(0) && wasClosedBeforeRead(record)) {
-      record.events.add(
-          "connection closed before the pipelined requests were read, not sent again");
+      record.events.add("connection closed before the burst was read, not sent again");
       record.outcome = Outcome.NOT_SENT;
     }
   }
--- a/soak/src/main/java/loadbalancer/soak/DiscoveryAgent.java
+++ b/soak/src/main/java/loadbalancer/soak/DiscoveryAgent.java
@@ -27,8 +27,8 @@
 
 /**
  * A simulated discovery agent of one proxy. It holds a revision of the endpoint list and pushes new
- * revisions to the open watches. All state belongs to one event loop; the methods for callers may
- * be called from any thread.
+ * revisions to the open watches. Its state is confined to one event loop; callers may use any
+ * thread.
  */
 final class DiscoveryAgent implements AutoCloseable {
 
--- a/soak/src/main/java/loadbalancer/soak/DisruptionInjector.java
+++ b/soak/src/main/java/loadbalancer/soak/DisruptionInjector.java
@@ -179,13 +179,14 @@
     Errno exhaustionError = exhaustionErrors.get(disruption.variant() % exhaustionErrors.size());
     Call call =
         Call.values()[disruption.variant() / exhaustionErrors.size() % Call.values().length];
-    boolean isFirstForm = disruption.target() % 2 == 0;
+    boolean isFirstVariant = disruption.target() % 2 == 0;
     switch (call) {
-      case ACCEPT, SOCKET -> failOnceOrAll(faults, call, exhaustionError, isFirstForm);
+      case ACCEPT, SOCKET -> failOnceOrAll(faults, call, exhaustionError, isFirstVariant);
       case BIND -> faults.failNext(call, 2, exhaustionError); // Takes effect at the next start.
-      case CONNECT -> faults.failAll(call, isFirstForm ? Errno.EADDRNOTAVAIL : Errno.ENETUNREACH);
-      case READ -> interruptOrCutShort(faults, call, isFirstForm, SHORT_READ_BYTES);
-      case WRITE -> interruptOrCutShort(faults, call, isFirstForm, SHORT_WRITE_BYTES);
+      case CONNECT ->
+          faults.failAll(call, isFirstVariant ? Errno.EADDRNOTAVAIL : Errno.ENETUNREACH);
+      case READ -> interruptOrCutShort(faults, call, isFirstVariant, SHORT_READ_BYTES);
+      case WRITE -> interruptOrCutShort(faults, call, isFirstVariant, SHORT_WRITE_BYTES);
       case WAIT -> faults.failSome(call, FAILURES_PER_MILLION, Errno.EINTR);
     }
     boolean isTolerable = call == Call.READ || call == Call.WRITE || call == Call.WAIT;
--- a/soak/src/main/java/loadbalancer/soak/DisruptionSchedule.java
+++ b/soak/src/main/java/loadbalancer/soak/DisruptionSchedule.java
@@ -58,9 +58,9 @@
 
   private static Disruption drawOne(UniformRandomProvider random, long at) {
     DisruptionKind[] kinds = DisruptionKind.values();
-    boolean systemCalls = random.nextDouble() < EXTRA_SYSTEM_CALLS_FRACTION;
+    boolean isSystemCallFault = random.nextDouble() < EXTRA_SYSTEM_CALLS_FRACTION;
     DisruptionKind kind =
-        systemCalls ? DisruptionKind.SYSTEM_CALLS : kinds[random.nextInt(kinds.length)];
+        isSystemCallFault ? DisruptionKind.SYSTEM_CALLS : kinds[random.nextInt(kinds.length)];
     long duration = MIN_DURATION_MILLIS + random.nextLong(2 * MEAN_DURATION_MILLIS);
     return new Disruption(
         at, kind, random.nextInt(RANDOM_BOUND), duration, random.nextInt(RANDOM_BOUND));
--- a/soak/src/main/java/loadbalancer/soak/FakeUpstream.java
+++ b/soak/src/main/java/loadbalancer/soak/FakeUpstream.java
@@ -18,7 +18,7 @@
 
 /**
  * A simulated upstream server. It logs the requests that reach it and responds according to its
- * mode. It runs on one event loop; the methods for callers may be called from any thread.
+ * mode. It runs on one event loop; callers may use any thread.
  */
 final class FakeUpstream implements AutoCloseable {
 
--- a/soak/src/main/java/loadbalancer/soak/InvariantChecker.java
+++ b/soak/src/main/java/loadbalancer/soak/InvariantChecker.java
@@ -150,7 +150,7 @@
           Rule.DEADLINE_PROPAGATION,
           attempt.firstByteNanos(),
           request.traceId,
-          "told " + statedNanos / 1_000_000 + " ms, left " + leftNanos / 1_000_000 + " ms");
+          "stated " + statedNanos / 1_000_000 + " ms, left " + leftNanos / 1_000_000 + " ms");
     }
   }
 
@@ -184,7 +184,7 @@
             Rule.SLOW_START,
             all.get(last).lastByteNanos(),
             all.get(last).traceId(),
-            name + " got " + inWindow.size() + " of " + withMargin(budget));
+            name + " got " + inWindow.size() + " attempts, allowed: " + withMargin(budget));
         return;
       }
     }
@@ -199,11 +199,11 @@
         TimeUnit.NANOSECONDS.toMillis(attempt.lastByteNanos())
             + wallOffset
             - attempt.startedUnixMillis();
-    double part = Math.min(1, Math.max(0, ageMillis / deployment.slowStartMillis()));
-    if (part >= 1) {
+    double slowStartProgress = Math.min(1, Math.max(0, ageMillis / deployment.slowStartMillis()));
+    if (slowStartProgress >= 1) {
       return Double.POSITIVE_INFINITY;
     }
-    double capacity = deployment.initialCapacity() * (1 - part) + part;
+    double capacity = deployment.initialCapacity() * (1 - slowStartProgress) + slowStartProgress;
     return deployment.overloadMultiple()
         * capacity
         * deployment.endpointCapacity()
--- a/soak/src/main/java/loadbalancer/soak/ProxyEventLog.java
+++ b/soak/src/main/java/loadbalancer/soak/ProxyEventLog.java
@@ -46,16 +46,16 @@
     this.killAfterTermNanos = killAfterTermNanos;
   }
 
-  synchronized void recordKill(Interval span) {
-    kills.add(span);
+  synchronized void recordKill(Interval interval) {
+    kills.add(interval);
   }
 
   synchronized void recordTermination(long atNanos) {
     terminations.add(atNanos);
   }
 
-  synchronized void recordPause(Interval span) {
-    pauses.add(span);
+  synchronized void recordPause(Interval interval) {
+    pauses.add(interval);
   }
 
   synchronized void recordViolation(Violation.Rule rule, String detail) {
@@ -81,10 +81,10 @@
         .anyMatch(
             kill ->
                 kill.overlaps(sentNanos - MAX_CLOCK_DELAY_NANOS, endNanos)
-                    && !wasSentAfterTermination(sentNanos, kill.fromNanos()));
+                    && !isResponseRequired(sentNanos, kill.fromNanos()));
   }
 
-  private boolean wasSentAfterTermination(long sentNanos, long killNanos) {
+  private boolean isResponseRequired(long sentNanos, long killNanos) {
     return terminations.stream()
         .anyMatch(
             term ->
--- a/soak/src/main/java/loadbalancer/soak/ProxyHistory.java
+++ b/soak/src/main/java/loadbalancer/soak/ProxyHistory.java
@@ -1,7 +1,7 @@
 package loadbalancer.soak;
 
 /**
- * The actions of the platform that excuse a proxy from a promise. Times are values of {@link
+ * The actions of the platform that excuse a proxy from an invariant. Times are values of {@link
  * System#nanoTime()}.
  */
 interface ProxyHistory {
--- a/soak/src/main/java/loadbalancer/soak/SoakOptions.java
+++ b/soak/src/main/java/loadbalancer/soak/SoakOptions.java
@@ -8,7 +8,8 @@
 
   @Option(
       names = "--seed",
-      description = "Seed of the disruptions and of the traffic (default: ${DEFAULT-VALUE}).")
+      description =
+          "Seed of the disruptions (troubles) and of the traffic (default: ${DEFAULT-VALUE}).")
   long seed = 1;
 
   @Option(
@@ -25,7 +26,7 @@
   @Option(
       names = "--requests-per-second",
       description =
-          "Total requests per second of each proxy's clients (default: ${DEFAULT-VALUE}).")
+          "Requests per second that a proxy's clients send in total (default: ${DEFAULT-VALUE}).")
   double requestsPerSecond = 25;
 
   @Option(
@@ -35,10 +36,12 @@
 
   @Option(
       names = "--folder",
-      description = "Directory for logs and configurations (default: a temporary one).")
+      description = "Directory where logs and configurations go (default: a temporary one).")
   Path folder;
 
-  @Option(names = "--report", description = "File for the report, in JSON.")
+  @Option(
+      names = "--report",
+      description = "File for the report in JSON; its field troubles counts disruptions.")
   Path report;
 
   /** Returns an error message for the first invalid option, or null if all options are valid. */
--- a/soak/src/main/java/loadbalancer/soak/SoakRun.java
+++ b/soak/src/main/java/loadbalancer/soak/SoakRun.java
@@ -122,7 +122,7 @@
   }
 
   private List<Thread> startClients(AtomicBoolean running) {
-    AtomicLong ids = new AtomicLong();
+    AtomicLong lastTraceNumber = new AtomicLong();
     List<Thread> threads = new ArrayList<>();
     for (ProxyNode proxy : proxies) {
       for (int i = 0; i < CLIENTS_PER_PROXY; i++) {
@@ -134,7 +134,7 @@
                 attempts,
                 RandomSource.XO_RO_SHI_RO_128_PP.create(seed),
                 options.requestsPerSecond / CLIENTS_PER_PROXY,
-                ids,
+                lastTraceNumber,
                 running::get);
         workers.add(worker);
         Thread thread = new Thread(worker, "client-" + proxy.index() + "-" + i);
--- a/soak/src/test/java/loadbalancer/soak/AcceptFailureTest.java
+++ b/soak/src/test/java/loadbalancer/soak/AcceptFailureTest.java
@@ -76,18 +76,17 @@
 
   /** The time that a connection waits to be accepted counts towards the deadline. */
   @Test
-  void tellsUpstreamsNoMoreTimeThanIsLeftAfterTheWait() throws IOException, InterruptedException {
-    assertToldNoMoreTimeThanIsLeft(false);
+  void statesNoMoreThanTheRemainingTimeAfterTheWait() throws IOException, InterruptedException {
+    assertStatesNoMoreThanTheRemainingTime(false);
   }
 
-  /** As above, and the request is read in many pieces. */
+  /** The request of a connection that waited to be accepted is read in many pieces. */
   @Test
-  void tellsUpstreamsNoMoreTimeThanIsLeftWhereReadsAreShort()
-      throws IOException, InterruptedException {
-    assertToldNoMoreTimeThanIsLeft(true);
+  void statesNoMoreThanTheRemainingTimeWithShortReads() throws IOException, InterruptedException {
+    assertStatesNoMoreThanTheRemainingTime(true);
   }
 
-  private void assertToldNoMoreTimeThanIsLeft(boolean shortReads)
+  private void assertStatesNoMoreThanTheRemainingTime(boolean shortReads)
       throws IOException, InterruptedException {
     try (SingleProxy proxy = start();
         ClientConnection client = connectWhileAcceptFails(proxy)) {
@@ -103,7 +102,7 @@
       long leftMillis = DEADLINE_MILLIS - (attempt.firstByteNanos() - sentNanos) / 1_000_000;
       assertTrue(
           attempt.remainingMillis() <= leftMillis + 150,
-          () -> "told " + attempt.remainingMillis() + " ms, left " + leftMillis + " ms");
+          () -> "stated " + attempt.remainingMillis() + " ms, left " + leftMillis + " ms");
     }
   }
 
--- a/soak/src/test/java/loadbalancer/soak/DiscoveryRecoveryTest.java
+++ b/soak/src/test/java/loadbalancer/soak/DiscoveryRecoveryTest.java
@@ -20,7 +20,9 @@
 
   @TempDir Path folder;
 
-  /** Discovery recovers, with a draining endpoint, while the agent has left calls unanswered. */
+  /**
+   * The agent ignores a request, and right afterwards discovery recovers with a draining endpoint.
+   */
   @Test
   void followsADrainPublishedWhenDiscoveryRecovers() throws IOException, InterruptedException {
     Deployment deployment = Deployment.of(1, 3);
--- a/soak/src/test/java/loadbalancer/soak/InvariantCheckerTest.java
+++ b/soak/src/test/java/loadbalancer/soak/InvariantCheckerTest.java
@@ -112,7 +112,7 @@
   }
 
   @Test
-  void findsAttemptsThatAreToldTooMuchTime() {
+  void findsAttemptsThatStateTooMuchTime() {
     attempt(400, 0, 990);
     assertEquals(List.of(Rule.DEADLINE_PROPAGATION), rulesOf("read", r -> {}));
   }
--- a/soak/src/test/java/loadbalancer/soak/SoakRunTest.java
+++ b/soak/src/test/java/loadbalancer/soak/SoakRunTest.java
@@ -35,8 +35,10 @@
     try (SoakRun run = new SoakRun(options, folder, discardingStream())) {
       SoakReport report = run.run();
       assertEquals(Map.of(), report.violations(), () -> report.firstViolation().toString());
-      assertTrue(report.requests().get("status 200") > SECONDS * PROCESSES, "number of requests");
-      assertTrue(report.troubles().size() > 5, "number of kinds of disruption");
+      assertTrue(
+          report.requests().get("status 200") > SECONDS * PROCESSES,
+          "number of successful responses");
+      assertTrue(report.troubles().size() > 5, "number of kinds of disruption in troubles");
     }
   }
 
