--- a/soak/src/main/java/loadbalancer/soak/ClientWorker.java
+++ b/soak/src/main/java/loadbalancer/soak/ClientWorker.java
@@ -10,29 +10,29 @@
 import loadbalancer.soak.RequestRecord.Outcome;
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** One client of one proxy: sends requests one after the other, in many manners. */
+/** A client of one proxy. It sends requests one after the other, with randomly chosen behavior. */
 final class ClientWorker implements Runnable {
 
-  /** Clients wait so long beyond the time that they state, to see whether a response is lost. */
-  private static final long PATIENCE_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
+  /** Time that clients wait after the deadline, to tell a late response from a lost one. */
+  private static final long WAIT_AFTER_DEADLINE_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
 
-  private static final long IDLE_MILLIS = 50;
+  private static final long RECONNECT_DELAY_MILLIS = 50;
 
-  /** A proxy may close a connection without a request after so long. */
-  private static final long MAY_CLOSE_IDLE_NANOS = TimeUnit.SECONDS.toNanos(2);
+  /** Time after which a proxy may close an idle connection. */
+  private static final long IDLE_CLOSE_NANOS = TimeUnit.SECONDS.toNanos(2);
 
   private final ProxyNode proxy;
   private final Deployment deployment;
   private final AttemptLog attempts;
   private final UniformRandomProvider random;
   private final double meanGapMillis;
-  private final AtomicLong ids;
+  private final AtomicLong lastTraceNumber;
   private final BooleanSupplier running;
   private final List<RequestRecord> records = new ArrayList<>();
   private final List<Violation> violations = new ArrayList<>();
   private ClientConnection connection;
-  private int connectedTo; // incarnation of the proxy
-  private boolean reused;
+  private int connectedIncarnation;
+  private boolean hasSentRequest;
   private long lastResponseNanos;
 
   ClientWorker(
@@ -41,23 +41,23 @@
       AttemptLog attempts,
       UniformRandomProvider random,
       double requestsPerSecond,
-      AtomicLong ids,
+      AtomicLong lastTraceNumber,
       BooleanSupplier running) {
     this.proxy = proxy;
     this.deployment = deployment;
     this.attempts = attempts;
     this.random = random;
-    this.ids = ids;
+    this.lastTraceNumber = lastTraceNumber;
     this.running = running;
     meanGapMillis = TimeUnit.SECONDS.toMillis(1) / requestsPerSecond;
   }
 
-  /** The requests that it has sent; to be called after its end. */
+  /** Returns the requests of this client. May be called only after its thread has ended. */
   List<RequestRecord> records() {
     return records;
   }
 
-  /** What broke a promise beside requests. */
+  /** Returns the violations that are not derived from the request records. */
   List<Violation> violations() {
     return violations;
   }
@@ -78,22 +78,22 @@
 
   private void sendOne() throws InterruptedException {
     if (!connect()) {
-      Thread.sleep(IDLE_MILLIS);
+      Thread.sleep(RECONNECT_DELAY_MILLIS);
       return;
     }
-    int manner = random.nextInt(100);
+    int behavior = random.nextInt(100);
     try {
-      if (manner < 4) {
-        leaveEarly();
-      } else if (manner < 8) {
+      if (behavior < 4) {
+        disconnectEarly();
+      } else if (behavior < 8) {
         pipeline();
-      } else if (manner < 11) {
+      } else if (behavior < 11) {
         disconnect();
-        BadClient.visit(proxy, deployment, random).ifPresent(violations::add);
+        IncompleteRequestClient.check(proxy, deployment, random).ifPresent(violations::add);
       } else {
-        ask(newRecord(), manner < 15);
+        exchange(newRecord(), behavior < 15);
       }
-      if (manner > 92) {
+      if (behavior > 92) {
         disconnect();
       }
     } catch (IOException e) {
@@ -105,16 +105,16 @@
     if (connection != null) {
       return true;
     }
-    if (!proxy.mayConnect()) {
+    if (!proxy.isConnectable()) {
       return false;
     }
     try {
-      connectedTo = proxy.incarnation();
+      connectedIncarnation = proxy.incarnation();
       connection = new ClientConnection(proxy.process().port());
-      reused = false;
+      hasSentRequest = false;
       return true;
     } catch (IOException e) {
-      return false; // Not listening: nothing was accepted.
+      return false; // The proxy is not listening, so it has not accepted a request.
     }
   }
 
@@ -128,7 +128,7 @@
   private RequestRecord newRecord() {
     RequestKind kind = deployment.kinds().get(random.nextInt(deployment.kinds().size()));
     long remaining = kind.deadlineMillis() * (50 + random.nextInt(51)) / 100;
-    String traceId = "q" + ids.incrementAndGet();
+    String traceId = "q" + lastTraceNumber.incrementAndGet();
     RequestRecord record =
         new RequestRecord(traceId, kind, proxy.index(), proxy.incarnation(), remaining);
     records.add(record);
@@ -136,19 +136,19 @@
   }
 
   private void send(RequestRecord record, boolean inPieces) throws IOException {
-    record.firstOnConnection = !reused;
-    String text = record.text();
+    record.firstOnConnection = !hasSentRequest;
+    String text = record.toHttp();
     int cut = inPieces ? 1 + random.nextInt(text.length() - 1) : text.length();
     connection.write(text.substring(0, cut));
     if (cut < text.length()) {
-      pause(random.nextInt(100));
+      sleep(random.nextInt(100));
       connection.write(text.substring(cut));
     }
     record.sentNanos = System.nanoTime();
-    reused = true;
+    hasSentRequest = true;
   }
 
-  private static void pause(long millis) {
+  private static void sleep(long millis) {
     try {
       Thread.sleep(millis);
     } catch (InterruptedException e) {
@@ -156,29 +156,29 @@
     }
   }
 
-  private void ask(RequestRecord record, boolean inPieces) throws IOException {
+  private void exchange(RequestRecord record, boolean inPieces) throws IOException {
     send(record, inPieces);
     receive(record);
-    if (hasCrossed(record)) {
-      sendAgain(record);
+    if (wasClosedBeforeRead(record)) {
+      resend(record);
     }
   }
 
-  /** Whether the connection was closed between requests, as it may, and this one was not read. */
-  private boolean hasCrossed(RequestRecord record) {
-    boolean mayClose =
-        proxy.isEnding()
-            || proxy.incarnation() != connectedTo
-            || record.sentNanos - lastResponseNanos > MAY_CLOSE_IDLE_NANOS;
+  /** Returns whether a permitted close crossed the request, so that the proxy did not read it. */
+  private boolean wasClosedBeforeRead(RequestRecord record) {
+    boolean canBeClosed =
+        proxy.isEndingOrDown()
+            || proxy.incarnation() != connectedIncarnation
+            || record.sentNanos - lastResponseNanos > IDLE_CLOSE_NANOS;
     return record.outcome == Outcome.CLOSED
         && !record.firstOnConnection
-        && mayClose
+        && canBeClosed
         && attempts.of(record.traceId).isEmpty();
   }
 
-  /** A close that crosses a request that was not read costs nothing but another connection. */
-  private void sendAgain(RequestRecord record) throws IOException {
-    record.events.add("connection closed under it, sent again");
+  /** Sends a request again on another connection, as a client does whose request was not read. */
+  private void resend(RequestRecord record) throws IOException {
+    record.events.add("connection closed before it was read, sent again on another connection");
     record.outcome = Outcome.NOT_SENT;
     if (connect()) {
       send(record, false);
@@ -187,7 +187,7 @@
   }
 
   private void receive(RequestRecord record) {
-    Response response = connection.read(record.deadlineNanos() + PATIENCE_NANOS);
+    Response response = connection.read(record.deadlineNanos() + WAIT_AFTER_DEADLINE_NANOS);
     record.endNanos = System.nanoTime();
     record.status = response.status();
     record.body = response.body();
@@ -203,46 +203,46 @@
     }
   }
 
-  private void leaveEarly() throws IOException {
+  private void disconnectEarly() throws IOException {
     RequestRecord record = newRecord();
     send(record, false);
-    pause(random.nextInt(60));
+    sleep(random.nextInt(60));
     disconnect();
     record.closedNanos = System.nanoTime();
     record.endNanos = record.closedNanos;
     record.outcome = Outcome.LEFT;
   }
 
-  /** Sends some requests at once; what a close leaves unanswered may be sent again. */
+  /** Sends several requests at once. After a close, those without an attempt count as not sent. */
   private void pipeline() throws IOException {
     List<RequestRecord> burst = new ArrayList<>();
     StringBuilder text = new StringBuilder();
     int size = 2 + random.nextInt(4);
     for (int i = 0; i < size; i++) {
       RequestRecord record = newRecord();
-      record.firstOnConnection = !reused && i == 0;
+      record.firstOnConnection = !hasSentRequest && i == 0;
       burst.add(record);
-      text.append(record.text());
+      text.append(record.toHttp());
     }
     connection.write(text.toString());
-    reused = true;
+    hasSentRequest = true;
     burst.forEach(record -> record.sentNanos = System.nanoTime());
     for (RequestRecord record : burst) {
       if (connection == null) {
-        boolean read = !attempts.of(record.traceId).isEmpty();
-        record.outcome = read ? Outcome.CLOSED : Outcome.NOT_SENT;
+        boolean hasArrived = !attempts.of(record.traceId).isEmpty();
+        record.outcome = hasArrived ? Outcome.CLOSED : Outcome.NOT_SENT;
         record.endNanos = System.nanoTime();
       } else {
         receive(record);
-        passOverCrossing(burst, record);
+        markIfClosedBeforeRead(burst, record);
       }
     }
   }
 
-  /** A close that crosses a whole burst has not read any of it. */
-  private void passOverCrossing(List<RequestRecord> burst, RequestRecord record) {
-    if (record == burst.get(0) && hasCrossed(record)) {
-      record.events.add("connection closed under the burst, not sent again");
+  /** Marks the first request as not sent if a close crossed the burst, so that none was read. */
+  private void markIfClosedBeforeRead(List<RequestRecord> burst, RequestRecord record) {
+    if (record == burst.get(0) && wasClosedBeforeRead(record)) {
+      record.events.add("connection closed before the burst was read, not sent again");
       record.outcome = Outcome.NOT_SENT;
     }
   }
--- a/soak/src/main/java/loadbalancer/soak/DiscoveryAgent.java
+++ b/soak/src/main/java/loadbalancer/soak/DiscoveryAgent.java
@@ -26,8 +26,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The discovery agent on one proxy's machine: it has a version of the endpoint list, and pushes
- * what it gets. Everything runs on one event loop; the public methods are for any thread.
+ * A simulated discovery agent of one proxy. It holds a revision of the endpoint list and pushes new
+ * revisions to the open watches. Its state is confined to one event loop; callers may use any
+ * thread.
  */
 final class DiscoveryAgent implements AutoCloseable {
 
@@ -39,12 +40,12 @@
   private final Channel server;
   private final List<Watch> watches = new ArrayList<>();
   private final List<Channel> connections = new ArrayList<>();
-  private final Semaphore ignoredCalls = new Semaphore(0);
+  private final Semaphore ignoredRequests = new Semaphore(0);
   private int revision;
   private boolean down;
-  private boolean firstAnswerComplete;
+  private boolean startsWithCompleteList;
 
-  /** A response that stays open; silent ones get nothing any more. */
+  /** A response that stays open for changes of the list. A silent watch receives nothing more. */
   private static final class Watch {
     private final Channel channel;
     private int sent;
@@ -56,7 +57,7 @@
     }
   }
 
-  /** Starts an agent that has the list of the catalogue's present revision. */
+  /** Starts an agent that has the catalogue's current revision of the list. */
   DiscoveryAgent(EventLoop loop, EndpointCatalogue catalogue) {
     this.loop = loop;
     this.catalogue = catalogue;
@@ -76,13 +77,13 @@
             new RequestHandler());
   }
 
-  /** Where it listens, as host:port. */
+  /** Returns the address that the agent listens on, as host:port. */
   String address() {
     return "127.0.0.1:" + ((InetSocketAddress) server.localAddress()).getPort();
   }
 
-  /** Gets a revision of the list, unless it has a later one, and pushes it. */
-  void learn(int newRevision) {
+  /** Advances to a revision of the list, unless the agent has a later one, and pushes it. */
+  void advanceTo(int newRevision) {
     loop.execute(
         () -> {
           revision = Math.max(revision, newRevision);
@@ -90,7 +91,10 @@
         });
   }
 
-  /** While it is down it says nothing and answers nobody; open watches stay open. */
+  /**
+   * Sets whether the agent is down. While down, it ignores requests and sends nothing; open watches
+   * stay open.
+   */
   void setDown(boolean isDown) {
     loop.execute(
         () -> {
@@ -101,28 +105,34 @@
         });
   }
 
-  /** Waits until so many further calls have come while it was down; they are never answered. */
-  void awaitIgnoredCalls(int count) throws InterruptedException {
-    ignoredCalls.acquire(count);
+  /**
+   * Waits until {@code count} further requests have arrived while the agent was down. They are
+   * never answered.
+   */
+  void awaitIgnoredRequests(int count) throws InterruptedException {
+    ignoredRequests.acquire(count);
   }
 
-  /** Whether the first answer to a call is the complete list, without draining endpoints. */
-  void setFirstAnswerComplete(boolean complete) {
-    loop.execute(() -> firstAnswerComplete = complete);
+  /**
+   * Sets whether each new watch starts with the complete list without draining endpoints. Otherwise
+   * it starts with the changes since the revision that the proxy states, where they are known.
+   */
+  void setStartsWithCompleteList(boolean complete) {
+    loop.execute(() -> startsWithCompleteList = complete);
   }
 
-  /** Lets the watches that are open now fall silent for good. */
+  /** Silences the currently open watches permanently. */
   void silenceWatches() {
     loop.execute(() -> watches.forEach(watch -> watch.silent = true));
   }
 
-  /** Resets the watches that are open now. */
+  /** Resets the connections of the currently open watches. */
   void resetWatches() {
     loop.execute(() -> List.copyOf(watches).forEach(watch -> Sockets.reset(watch.channel)));
   }
 
-  /** Takes no new connections; the open ones close after a while. */
-  void retire(long openMillis) {
+  /** Stops listening at once, and closes the open connections after a time. */
+  void closeAfter(long openMillis) {
     server.close();
     loop.schedule(
         () -> List.copyOf(connections).forEach(Channel::close), openMillis, TimeUnit.MILLISECONDS);
@@ -130,7 +140,7 @@
 
   @Override
   public void close() {
-    retire(0);
+    closeAfter(0);
   }
 
   private void heartbeat() {
@@ -143,7 +153,7 @@
 
   private void push(Watch watch) {
     if (!down && !watch.silent && watch.sent < revision) {
-      write(watch.channel, catalogue.changes(watch.sent, revision) + "\n");
+      write(watch.channel, catalogue.changesBetween(watch.sent, revision) + "\n");
       watch.sent = revision;
     }
   }
@@ -158,7 +168,7 @@
     @Override
     protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
       if (down) {
-        ignoredCalls.release();
+        ignoredRequests.release();
         return;
       }
       QueryStringDecoder query = new QueryStringDecoder(request.uri());
@@ -174,17 +184,19 @@
       HttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
       head.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
       channel.write(head);
-      boolean complete = firstAnswerComplete || !catalogue.knows(since) || since > revision;
+      boolean complete =
+          startsWithCompleteList || !catalogue.hasRevision(since) || since > revision;
       Object list =
           complete
-              ? catalogue.complete(revision, firstAnswerComplete)
-              : catalogue.changes(since, revision);
+              ? catalogue.completeList(revision, startsWithCompleteList)
+              : catalogue.changesBetween(since, revision);
       DiscoveryAgent.write(channel, list + "\n");
       watches.add(new Watch(channel, revision));
     }
 
     private void sendList(Channel channel) {
-      byte[] list = catalogue.complete(revision, false).toString().getBytes(StandardCharsets.UTF_8);
+      byte[] list =
+          catalogue.completeList(revision, false).toString().getBytes(StandardCharsets.UTF_8);
       DefaultFullHttpResponse response =
           new DefaultFullHttpResponse(
               HttpVersion.HTTP_1_1, HttpResponseStatus.OK, Unpooled.wrappedBuffer(list));
--- a/soak/src/main/java/loadbalancer/soak/EndpointFleet.java
+++ b/soak/src/main/java/loadbalancer/soak/EndpointFleet.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.function.IntConsumer;
 
-/** The upstreams of a run, which come and go. Safe for use by any thread. */
+/** The upstreams of a run, which are added, restarted and removed. Thread-safe. */
 final class EndpointFleet implements AutoCloseable {
 
   private static final long LATENCY_MILLIS = 15;
@@ -14,68 +14,68 @@
   private final EventLoopGroup group;
   private final EndpointCatalogue catalogue;
   private final AttemptLog attempts;
-  private final IntConsumer published;
-  private final List<StandInUpstream> all = new ArrayList<>();
-  private final List<StandInUpstream> serving = new ArrayList<>();
-  private int nextName;
+  private final IntConsumer onPublish;
+  private final List<FakeUpstream> all = new ArrayList<>();
+  private final List<FakeUpstream> serving = new ArrayList<>();
+  private int nextNumber;
 
   /**
-   * Starts some upstreams that have run for long.
+   * Starts a number of upstreams, which are listed as started long ago.
    *
-   * @param published is told of each new revision of the list
+   * @param onPublish called with each new revision of the list
    */
   EndpointFleet(
       EventLoopGroup group,
       EndpointCatalogue catalogue,
       AttemptLog attempts,
       int count,
-      IntConsumer published) {
+      IntConsumer onPublish) {
     this.group = group;
     this.catalogue = catalogue;
     this.attempts = attempts;
-    this.published = published;
+    this.onPublish = onPublish;
     for (int i = 0; i < count; i++) {
       add(0);
     }
   }
 
-  private synchronized StandInUpstream add(long startedUnixMillis) {
-    int number = nextName++;
-    StandInUpstream upstream =
-        new StandInUpstream(group.next(), "s" + number, attempts, LATENCY_MILLIS, number);
+  private synchronized FakeUpstream add(long startedUnixMillis) {
+    int number = nextNumber++;
+    FakeUpstream upstream =
+        new FakeUpstream(group.next(), "s" + number, attempts, LATENCY_MILLIS, number);
     upstream.start(startedUnixMillis);
     all.add(upstream);
     serving.add(upstream);
-    list(upstream, EndpointEntry.Phase.READY, startedUnixMillis);
+    publish(upstream, EndpointEntry.Phase.READY, startedUnixMillis);
     return upstream;
   }
 
-  private void list(StandInUpstream upstream, EndpointEntry.Phase phase, long started) {
-    published.accept(
+  private void publish(FakeUpstream upstream, EndpointEntry.Phase phase, long started) {
+    onPublish.accept(
         catalogue.add(new EndpointEntry(upstream.name(), upstream.address(), phase, started)));
   }
 
-  /** Takes one that nothing else happens to; null where too few serve. */
-  private synchronized StandInUpstream take(int target) {
+  /** Removes an upstream from the serving ones and returns it; null if too few are serving. */
+  private synchronized FakeUpstream removeFromServing(int target) {
     if (serving.size() <= all.size() / 2 || serving.size() < 3) {
       return null;
     }
     return serving.remove(target % serving.size());
   }
 
-  private synchronized void giveBack(StandInUpstream upstream) {
+  private synchronized void returnToServing(FakeUpstream upstream) {
     serving.add(upstream);
   }
 
-  /** One drains, goes, and another one comes. */
-  void release(int target) throws InterruptedException {
-    StandInUpstream leaving = take(target);
+  /** Drains and removes an upstream, then adds a new one. */
+  void replace(int target) throws InterruptedException {
+    FakeUpstream leaving = removeFromServing(target);
     if (leaving == null) {
       return;
     }
-    list(leaving, EndpointEntry.Phase.DRAINING, leaving.startedUnixMillis());
+    publish(leaving, EndpointEntry.Phase.DRAINING, leaving.startedUnixMillis());
     Thread.sleep(DRAIN_MILLIS);
-    list(leaving, EndpointEntry.Phase.GONE, leaving.startedUnixMillis());
+    publish(leaving, EndpointEntry.Phase.GONE, leaving.startedUnixMillis());
     leaving.kill();
     synchronized (this) {
       all.remove(leaving);
@@ -83,33 +83,33 @@
     add(System.currentTimeMillis());
   }
 
-  /** One dies, and comes back cold. */
+  /** Kills an upstream and restarts it after a time, so that it has to warm up. */
   void restart(int target, long downMillis) throws InterruptedException {
-    StandInUpstream upstream = take(target);
+    FakeUpstream upstream = removeFromServing(target);
     if (upstream != null) {
       upstream.kill();
       Thread.sleep(downMillis);
-      upstream.setMode(StandInUpstream.Mode.SERVING);
+      upstream.setMode(FakeUpstream.Mode.SERVING);
       long now = System.currentTimeMillis();
       upstream.start(now);
-      list(upstream, EndpointEntry.Phase.READY, now);
-      giveBack(upstream);
+      publish(upstream, EndpointEntry.Phase.READY, now);
+      returnToServing(upstream);
     }
   }
 
-  /** One misbehaves for a while. */
-  void misbehave(int target, StandInUpstream.Mode mode, long millis) throws InterruptedException {
-    StandInUpstream upstream = take(target);
+  /** Switches an upstream to a mode for a time. */
+  void runInMode(int target, FakeUpstream.Mode mode, long millis) throws InterruptedException {
+    FakeUpstream upstream = removeFromServing(target);
     if (upstream != null) {
       upstream.setMode(mode);
       Thread.sleep(millis);
-      upstream.setMode(StandInUpstream.Mode.SERVING);
-      giveBack(upstream);
+      upstream.setMode(FakeUpstream.Mode.SERVING);
+      returnToServing(upstream);
     }
   }
 
   @Override
   public synchronized void close() {
-    all.forEach(StandInUpstream::close);
+    all.forEach(FakeUpstream::close);
   }
 }
--- a/soak/src/main/java/loadbalancer/soak/InvariantChecker.java
+++ b/soak/src/main/java/loadbalancer/soak/InvariantChecker.java
@@ -11,26 +11,31 @@
 import loadbalancer.soak.RequestRecord.Outcome;
 import loadbalancer.soak.Violation.Rule;
 
-/** Judges a run, once it is over, by what clients sent and got and what reached the upstreams. */
+/**
+ * Checks the invariants after a run, from the requests and responses of the clients and the
+ * attempts that reached the upstreams.
+ */
 final class InvariantChecker {
 
-  /** A final response may come so long after the deadline, and then only earns nothing. */
-  private static final long LATE_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
+  /** A final response that is late by no more than this loses its value but violates no rule. */
+  private static final long MAX_LATE_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
-  /** Every time limit grows by this on real sockets. */
+  /** Tolerance added to time limits because real sockets delay events. */
   private static final long SOCKET_SLACK_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
-  /** An attempt may begin so long after the client's close. */
-  private static final long CLIENT_GONE_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
+  /** Maximum time between a client's close and the start of an attempt for it. */
+  private static final long CLIENT_CLOSE_SLACK_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
-  /** An attempt may tell its endpoint so much more than is left. */
+  /** Maximum excess of the remaining time that an attempt states over the actual one. */
   private static final long DEADLINE_SLACK_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
 
-  /** Below this budget chance is allowed more. */
+  /** Budget below which a larger margin for random variation is allowed. */
   private static final int SMALL_BUDGET = 30;
 
-  /** The part of a fall that has to come from proxies that were notified of the start. */
-  private static final double NOTIFIED_PART = 2.0 / 3;
+  /**
+   * Minimum share of an overload that has to come from proxies notified of the endpoint's start.
+   */
+  private static final double MIN_NOTIFIED_FRACTION = 2.0 / 3;
 
   private final Deployment deployment;
   private final AttemptLog attempts;
@@ -49,13 +54,13 @@
     this.proxies = proxies;
   }
 
-  /** The violations of these requests, the first one first. */
+  /** Returns the violations of the requests, in the order of their times. */
   List<Violation> check(Collection<RequestRecord> requests) {
     Map<String, RequestRecord> byTrace = new TreeMap<>();
     for (RequestRecord request : requests) {
       byTrace.put(request.traceId, request);
       checkResponse(request);
-      checkEffect(request);
+      checkExecutions(request);
       attempts.of(request.traceId).forEach(attempt -> checkAttempt(request, attempt));
     }
     checkSlowStart(attempt -> byTrace.get(attempt.traceId()).proxy);
@@ -71,9 +76,9 @@
     long lateNanos = request.endNanos - request.deadlineNanos();
     boolean unanswered = request.outcome == Outcome.CLOSED || request.outcome == Outcome.UNANSWERED;
     ProxyHistory proxy = proxies.get(request.proxy);
-    if (unanswered && !proxy.wasKilledUnder(request.sentNanos, request.endNanos)) {
+    if (unanswered && !proxy.wasKilledDuring(request.sentNanos, request.endNanos)) {
       report(Rule.DROPPED_REQUEST, request.endNanos, request.traceId, request.outcome.toString());
-    } else if (request.outcome == Outcome.RESPONSE && lateNanos > LATE_NANOS) {
+    } else if (request.outcome == Outcome.RESPONSE && lateNanos > MAX_LATE_NANOS) {
       report(Rule.DROPPED_REQUEST, request.endNanos, request.traceId, "late by " + lateNanos);
     }
     boolean served = request.outcome == Outcome.RESPONSE && request.status == 200;
@@ -87,7 +92,7 @@
         .anyMatch(attempt -> request.body.equals(attempt.traceId() + " by " + attempt.endpoint()));
   }
 
-  private void checkEffect(RequestRecord request) {
+  private void checkExecutions(RequestRecord request) {
     List<Attempt> ran = attempts.of(request.traceId).stream().filter(Attempt::ran).toList();
     if (request.kind.effect() == RequestKind.Effect.AT_MOST_ONCE && ran.size() > 1) {
       report(
@@ -125,7 +130,7 @@
           attempt.endpoint() + " by n" + request.proxy + ", " + after + " ms after notification");
     }
     if (request.closedNanos != 0
-        && attempt.firstByteNanos() > request.closedNanos + CLIENT_GONE_NANOS
+        && attempt.firstByteNanos() > request.closedNanos + CLIENT_CLOSE_SLACK_NANOS
         && !proxies.get(request.proxy).wasPaused(request.closedNanos, attempt.firstByteNanos())) {
       long after = TimeUnit.NANOSECONDS.toMillis(attempt.firstByteNanos() - request.closedNanos);
       report(
@@ -138,14 +143,14 @@
   }
 
   private void checkRemainingTime(RequestRecord request, Attempt attempt) {
-    long left = request.deadlineNanos() - attempt.firstByteNanos();
-    long told = TimeUnit.MILLISECONDS.toNanos(attempt.remainingMillis());
-    if (attempt.remainingMillis() >= 0 && told > left + DEADLINE_SLACK_NANOS) {
+    long leftNanos = request.deadlineNanos() - attempt.firstByteNanos();
+    long statedNanos = TimeUnit.MILLISECONDS.toNanos(attempt.remainingMillis());
+    if (attempt.remainingMillis() >= 0 && statedNanos > leftNanos + DEADLINE_SLACK_NANOS) {
       report(
           Rule.DEADLINE_PROPAGATION,
           attempt.firstByteNanos(),
           request.traceId,
-          "told " + told / 1_000_000 + " ms, left " + left / 1_000_000 + " ms");
+          "stated " + statedNanos / 1_000_000 + " ms, left " + leftNanos / 1_000_000 + " ms");
     }
   }
 
@@ -174,29 +179,31 @@
       }
       List<Attempt> inWindow = all.subList(first, last + 1);
       double budget = budget(all.get(last));
-      if (inWindow.size() > withChance(budget) && fromNotified(inWindow, proxyOf)) {
+      if (inWindow.size() > withMargin(budget) && isFromNotifiedProxies(inWindow, proxyOf)) {
         report(
             Rule.SLOW_START,
             all.get(last).lastByteNanos(),
             all.get(last).traceId(),
-            name + " got " + inWindow.size() + " of " + withChance(budget));
+            name + " got " + inWindow.size() + " attempts, allowed: " + withMargin(budget));
         return;
       }
     }
   }
 
-  /** What the settings allow in the window that ends with an attempt. */
+  /**
+   * Returns the number of requests that the settings allow in the window ending with an attempt.
+   */
   private double budget(Attempt attempt) {
     long wallOffset = System.currentTimeMillis() - TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
     double ageMillis =
         TimeUnit.NANOSECONDS.toMillis(attempt.lastByteNanos())
             + wallOffset
             - attempt.startedUnixMillis();
-    double part = Math.min(1, Math.max(0, ageMillis / deployment.slowStartMillis()));
-    if (part >= 1) {
+    double slowStartProgress = Math.min(1, Math.max(0, ageMillis / deployment.slowStartMillis()));
+    if (slowStartProgress >= 1) {
       return Double.POSITIVE_INFINITY;
     }
-    double capacity = deployment.initialCapacity() * (1 - part) + part;
+    double capacity = deployment.initialCapacity() * (1 - slowStartProgress) + slowStartProgress;
     return deployment.overloadMultiple()
         * capacity
         * deployment.endpointCapacity()
@@ -204,13 +211,13 @@
         / TimeUnit.SECONDS.toMillis(1);
   }
 
-  private static double withChance(double budget) {
+  private static double withMargin(double budget) {
     return budget < SMALL_BUDGET
         ? budget + 3 * Math.sqrt(budget) + 3
         : budget + 2 * Math.sqrt(budget) + 2;
   }
 
-  private boolean fromNotified(List<Attempt> inWindow, ToIntFunction<Attempt> proxyOf) {
+  private boolean isFromNotifiedProxies(List<Attempt> inWindow, ToIntFunction<Attempt> proxyOf) {
     long notified =
         inWindow.stream()
             .filter(
@@ -221,6 +228,6 @@
                             attempt.endpoint(),
                             attempt.startedUnixMillis()))
             .count();
-    return notified > NOTIFIED_PART * inWindow.size();
+    return notified > MIN_NOTIFIED_FRACTION * inWindow.size();
   }
 }
--- a/soak/src/main/java/loadbalancer/soak/ProxyNode.java
+++ b/soak/src/main/java/loadbalancer/soak/ProxyNode.java
@@ -6,24 +6,27 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One proxy of the fleet with its discovery agent, through all its incarnations. Its life is led by
- * one thread at a time; clients only look at it.
+ * A proxy of the fleet with its discovery agent, through all its incarnations. One thread at a time
+ * starts and ends the process; client threads only read its state.
  */
 final class ProxyNode implements AutoCloseable {
 
-  /** New connections come for so long after SIGTERM. */
+  /** Time after SIGTERM during which clients open new connections. */
   private static final long CONNECT_AFTER_TERM_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
 
-  /** The former discovery address closes its connections so long after a reload. */
-  private static final long RETIRED_AGENT_MILLIS = 1500;
+  /** Time after a reload at which the former discovery agent closes its connections. */
+  private static final long FORMER_AGENT_OPEN_MILLIS = 1500;
 
-  /** What discovery has counts so long after a reload. */
-  private static final long RELOAD_NANOS = TimeUnit.SECONDS.toNanos(4);
+  /** Time after a reload from which the proxy counts as notified of the agent's list. */
+  private static final long RELOAD_NOTIFICATION_NANOS = TimeUnit.SECONDS.toNanos(4);
 
-  /** What a silent watch misses counts so long after it fell silent. */
-  private static final long SILENCE_NANOS = TimeUnit.SECONDS.toNanos(6);
+  /**
+   * Time after its watches became silent from which the proxy counts as notified of the changes
+   * that they missed.
+   */
+  private static final long SILENCE_NOTIFICATION_NANOS = TimeUnit.SECONDS.toNanos(6);
 
-  private static final long READY_MILLIS = 30_000;
+  private static final long READY_TIMEOUT_MILLIS = 30_000;
 
   private final int index;
   private final Deployment deployment;
@@ -31,14 +34,14 @@
   private final EndpointCatalogue catalogue;
   private final NotificationLog notifications;
   private final EventLoop loop;
-  private final ProxyLife life;
+  private final ProxyEventLog eventLog;
   private DiscoveryAgent agent;
-  private int learned;
-  private long laggingUntilNanos;
+  private int deliveredRevision;
+  private long notNotifiedUntilNanos;
   private volatile boolean accepting;
   private volatile long terminatedNanos;
   private volatile int incarnation;
-  private boolean busy;
+  private boolean reserved;
 
   ProxyNode(
       int index,
@@ -53,15 +56,15 @@
     this.catalogue = catalogue;
     this.notifications = notifications;
     this.loop = loop;
-    life = new ProxyLife(index, TimeUnit.MILLISECONDS.toNanos(killAfterTermMillis()));
+    eventLog = new ProxyEventLog(index, TimeUnit.MILLISECONDS.toNanos(killAfterTermMillis()));
     agent = new DiscoveryAgent(loop, catalogue);
-    laggingUntilNanos = System.nanoTime();
-    learnUpTo(catalogue.revision());
+    notNotifiedUntilNanos = System.nanoTime();
+    recordDelivery(catalogue.revision());
   }
 
-  /** What was done to it, and what it did wrong by itself. */
-  ProxyLife life() {
-    return life;
+  /** Returns the log of signals sent to the proxy and of violations found in its process. */
+  ProxyEventLog eventLog() {
+    return eventLog;
   }
 
   int index() {
@@ -80,65 +83,67 @@
     return incarnation;
   }
 
-  /** Whether clients may connect now. */
-  boolean mayConnect() {
+  /** Returns whether clients may open connections now. */
+  boolean isConnectable() {
     long terminated = terminatedNanos;
     return accepting
         && (terminated == 0 || System.nanoTime() - terminated < CONNECT_AFTER_TERM_NANOS);
   }
 
-  /** Whether it is on its way to its end, so that it may close connections between requests. */
-  boolean isEnding() {
+  /** Returns whether the proxy is ending or down, and may close connections between requests. */
+  boolean isEndingOrDown() {
     return !accepting || terminatedNanos != 0;
   }
 
-  /** Whether it serves and nothing is being done to its process. */
-  synchronized boolean isIdle() {
-    return accepting && !busy;
+  /** Returns whether the proxy is serving and not reserved for a restart or shutdown. */
+  synchronized boolean isAvailable() {
+    return accepting && !reserved;
   }
 
   // ---- The endpoint list -----------------------------------------------------------------------
 
-  /** Its agent gets the list of a revision. */
-  synchronized void learn(int revision) {
-    if (revision > learned) {
-      agent.learn(revision);
-      noteNotifications(learned, revision);
-      learned = revision;
+  /** Delivers a revision of the list to the agent, unless it has that or a later one. */
+  synchronized void deliver(int revision) {
+    if (revision > deliveredRevision) {
+      agent.advanceTo(revision);
+      recordNotifications(deliveredRevision, revision);
+      deliveredRevision = revision;
     }
   }
 
-  private void noteNotifications(int since, int revision) {
-    long from = Math.max(System.nanoTime(), laggingUntilNanos);
+  private void recordNotifications(int since, int revision) {
+    long from = Math.max(System.nanoTime(), notNotifiedUntilNanos);
     for (int r = Math.max(since, catalogue.firstRevision()) + 1; r <= revision; r++) {
       notifications.add(index, catalogue.change(r), from);
     }
   }
 
-  /** Its watches fall silent. */
+  /** Silences the open watches of the proxy. */
   synchronized void silenceWatches() {
     agent.silenceWatches();
-    laggingUntilNanos = Math.max(laggingUntilNanos, System.nanoTime() + SILENCE_NANOS);
+    notNotifiedUntilNanos =
+        Math.max(notNotifiedUntilNanos, System.nanoTime() + SILENCE_NOTIFICATION_NANOS);
   }
 
-  /** Discovery moves to another address, and the process is told by SIGHUP. */
+  /** Moves discovery to another address and sends SIGHUP to the process. */
   synchronized void reload() throws IOException, InterruptedException {
     DiscoveryAgent former = agent;
     agent = new DiscoveryAgent(loop, catalogue);
-    laggingUntilNanos = Math.max(laggingUntilNanos, System.nanoTime() + RELOAD_NANOS);
-    learnUpTo(catalogue.revision());
+    notNotifiedUntilNanos =
+        Math.max(notNotifiedUntilNanos, System.nanoTime() + RELOAD_NOTIFICATION_NANOS);
+    recordDelivery(catalogue.revision());
     configure();
-    process.hangUp();
-    former.retire(RETIRED_AGENT_MILLIS);
+    process.sendHangUp();
+    former.closeAfter(FORMER_AGENT_OPEN_MILLIS);
   }
 
-  private void learnUpTo(int revision) {
-    noteNotifications(learned, revision);
-    learned = revision;
+  private void recordDelivery(int revision) {
+    recordNotifications(deliveredRevision, revision);
+    deliveredRevision = revision;
   }
 
   private void configure() throws IOException {
-    ObjectNode known = catalogue.complete(learned, false);
+    ObjectNode known = catalogue.completeList(deliveredRevision, false);
     process.configure(
         deployment.configuration(
             index, process.address(), agent.address(), known, 31L * index + incarnation));
@@ -154,22 +159,23 @@
       configure();
       process.start();
     }
-    if (process.awaitReady(READY_MILLIS)) {
+    if (process.awaitReady(READY_TIMEOUT_MILLIS)) {
       accepting = true;
     } else {
-      life.violated(Violation.Rule.START, "not ready in " + READY_MILLIS + " ms");
+      eventLog.recordViolation(
+          Violation.Rule.START, "not ready in " + READY_TIMEOUT_MILLIS + " ms");
     }
   }
 
-  /** Reserves the process for one thing that ends it; false if it is reserved already. */
-  synchronized boolean reserve() {
-    boolean free = accepting && !busy;
-    busy = busy || free;
-    return free;
+  /** Reserves the process for a restart or shutdown; returns false if it is reserved or down. */
+  synchronized boolean tryReserve() {
+    boolean isFree = accepting && !reserved;
+    reserved = reserved || isFree;
+    return isFree;
   }
 
-  /** SIGKILL, and a start anew. */
-  void killAndStart(long pauseMillis) throws IOException, InterruptedException {
+  /** Sends SIGKILL and restarts the process after a pause. */
+  void killAndRestart(long pauseMillis) throws IOException, InterruptedException {
     accepting = false;
     kill();
     Thread.sleep(pauseMillis);
@@ -180,26 +186,26 @@
   private void kill() {
     long from = System.nanoTime();
     process.close();
-    life.killed(new ProxyLife.Span(from, System.nanoTime()));
+    eventLog.recordKill(new ProxyEventLog.Interval(from, System.nanoTime()));
   }
 
-  /** SIGTERM, SIGKILL when that is due, and a start anew. */
+  /** Sends SIGTERM, then SIGKILL if the process has not ended in time, and restarts it. */
   void restart(long pauseMillis) throws IOException, InterruptedException {
-    terminateAndEnd();
+    terminateOrKill();
     Thread.sleep(pauseMillis);
     start();
     release();
   }
 
-  /** SIGTERM, and SIGKILL when that is due. */
-  void terminateAndEnd() throws InterruptedException {
+  /** Sends SIGTERM, then SIGKILL if the process has not ended in time. */
+  void terminateOrKill() throws InterruptedException {
     terminatedNanos = System.nanoTime();
-    life.terminated(terminatedNanos);
+    eventLog.recordTermination(terminatedNanos);
     process.terminate();
-    if (process.awaitEnd(killAfterTermMillis())) {
+    if (process.awaitExit(killAfterTermMillis())) {
       accepting = false;
       if (process.exitValue() != 0) {
-        life.violated(
+        eventLog.recordViolation(
             Violation.Rule.CRASH, "exit status " + process.exitValue() + " after SIGTERM");
       }
     } else {
@@ -213,23 +219,23 @@
   }
 
   private synchronized void release() {
-    busy = false;
+    reserved = false;
   }
 
-  /** Holds the process up for a moment. */
+  /** Stops the process by SIGSTOP for a time. */
   void pause(long millis) throws IOException, InterruptedException {
     long from = System.nanoTime();
-    process.signal("STOP");
+    process.sendSignal("STOP");
     Thread.sleep(millis);
-    process.signal("CONT");
-    life.paused(new ProxyLife.Span(from, System.nanoTime()));
+    process.sendSignal("CONT");
+    eventLog.recordPause(new ProxyEventLog.Interval(from, System.nanoTime()));
   }
 
-  /** Notes a crash, if the process has ended though nobody ended it. */
-  synchronized void checkAlive() {
-    if (accepting && !busy && !process.isAlive()) {
+  /** Records a violation if the process has ended without being terminated or killed. */
+  synchronized void checkForCrash() {
+    if (accepting && !reserved && !process.isAlive()) {
       accepting = false;
-      life.violated(Violation.Rule.CRASH, "ended with status " + process.exitValue());
+      eventLog.recordViolation(Violation.Rule.CRASH, "ended with status " + process.exitValue());
     }
   }
 
--- a/soak/src/main/java/loadbalancer/soak/SoakCommand.java
+++ b/soak/src/main/java/loadbalancer/soak/SoakCommand.java
@@ -12,12 +12,15 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 
-/** The command line of the soak test. Exit status: 0 no violation, 1 some, 2 it could not run. */
+/**
+ * The command line of the soak test. Exits with status 0 if no invariant was violated, 1 if one
+ * was, and 2 if the test could not run.
+ */
 @Command(
     name = "soak",
     mixinStandardHelpOptions = true,
     description =
-        "Plays overlapping troubles on real load balancer processes, judged by invariants.")
+        "Injects overlapping disruptions into load balancer processes and checks invariants.")
 public final class SoakCommand implements Callable<Integer> {
 
   private static final int PASSED = 0;
@@ -42,9 +45,9 @@
 
   @Override
   public Integer call() throws IOException, InterruptedException {
-    String problem = options.problem() == null ? memoryProblem() : options.problem();
-    if (problem != null) {
-      err.println(problem);
+    String error = options.validationError() == null ? memoryError() : options.validationError();
+    if (error != null) {
+      err.println(error);
       return FAILED;
     }
     Path folder =
@@ -54,7 +57,7 @@
     out.println("seed " + options.seed + ", logs in " + folder);
     SoakReport report;
     try (SoakRun run = new SoakRun(options, folder, out)) {
-      report = run.play();
+      report = run.run();
     }
     String text =
         new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT).writeValueAsString(report);
@@ -66,19 +69,25 @@
     return report.violations().isEmpty() ? PASSED : VIOLATED;
   }
 
-  /** No more than half of the machine's memory. */
-  private String memoryProblem() {
-    long wanted =
+  /**
+   * Returns an error message if the proxies need more than half of the machine's memory, or null.
+   */
+  private String memoryError() {
+    long neededMebibytes =
         (long) Deployment.of(options.processes, options.endpoints).memoryMebibytes()
             * options.processes;
-    java.lang.management.OperatingSystemMXBean system =
+    java.lang.management.OperatingSystemMXBean operatingSystem =
         ManagementFactory.getOperatingSystemMXBean();
-    long half =
-        system instanceof com.sun.management.OperatingSystemMXBean machine
+    long halfOfMemoryMebibytes =
+        operatingSystem instanceof com.sun.management.OperatingSystemMXBean machine
             ? machine.getTotalMemorySize() >> 21
             : Long.MAX_VALUE;
-    return wanted <= half
+    return neededMebibytes <= halfOfMemoryMebibytes
         ? null
-        : options.processes + " proxies take " + wanted + " MiB, half of the machine is " + half;
+        : options.processes
+            + " proxies need "
+            + neededMebibytes
+            + " MiB, half of the memory is "
+            + halfOfMemoryMebibytes;
   }
 }
--- a/soak/src/main/java/loadbalancer/soak/SoakReport.java
+++ b/soak/src/main/java/loadbalancer/soak/SoakReport.java
@@ -13,14 +13,14 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * The result of a run.
+ * The result of a run. The record components are the fields of the JSON report.
  *
- * @param requests how many were sent, by outcome and status
- * @param latencyMillis of responses with status 200, by percentile
- * @param troubles how many there were, by kind
- * @param violations how many there are, by rule
- * @param firstViolation with its history; null if there is none
- * @param firstOfEachOtherRule likewise
+ * @param requests the number of requests, by outcome and status
+ * @param latencyMillis the latency of responses with status 200, by percentile
+ * @param troubles the number of scheduled disruptions, by kind
+ * @param violations the number of violations, by rule
+ * @param firstViolation the earliest violation with its history; null if there is none
+ * @param firstOfEachOtherRule the earliest violation of each other violated rule
  */
 @JsonPropertyOrder({
   "seed",
@@ -45,20 +45,22 @@
   private static final double[] PERCENTILES = {50, 90, 99, 99.9, 100};
   private static final int SIGNIFICANT_DIGITS = 3;
 
-  /** The earliest violation, and the events that led to it. */
+  /** The earliest violation of a rule, with the events that led to it. */
   record FirstViolation(String rule, String traceId, String detail, List<String> history) {}
 
   static SoakReport of(
       SoakOptions options,
       List<RequestRecord> requests,
-      List<Trouble> troubles,
+      List<Disruption> disruptions,
       List<Violation> violations,
-      History history)
+      ViolationHistory history)
       throws IOException {
-    Map<String, Long> byKind = new TreeMap<>();
-    troubles.forEach(trouble -> byKind.merge(trouble.kind().toString(), 1L, Long::sum));
-    Map<String, Long> byRule = new TreeMap<>();
-    violations.forEach(violation -> byRule.merge(violation.rule().toString(), 1L, Long::sum));
+    Map<String, Long> disruptionsByKind = new TreeMap<>();
+    disruptions.forEach(
+        disruption -> disruptionsByKind.merge(disruption.kind().toString(), 1L, Long::sum));
+    Map<String, Long> violationsByRule = new TreeMap<>();
+    violations.forEach(
+        violation -> violationsByRule.merge(violation.rule().toString(), 1L, Long::sum));
     return new SoakReport(
         options.seed,
         options.seconds,
@@ -66,14 +68,14 @@
         options.endpoints,
         outcomes(requests),
         latencies(requests),
-        byKind,
-        byRule,
+        disruptionsByKind,
+        violationsByRule,
         violations.isEmpty() ? null : first(violations.get(0), history),
         firstOfEachOtherRule(violations, history));
   }
 
   private static List<FirstViolation> firstOfEachOtherRule(
-      List<Violation> violations, History history) throws IOException {
+      List<Violation> violations, ViolationHistory history) throws IOException {
     List<FirstViolation> firsts = new ArrayList<>();
     Set<Violation.Rule> seen = EnumSet.noneOf(Violation.Rule.class);
     for (Violation violation : violations) {
@@ -84,12 +86,13 @@
     return firsts;
   }
 
-  private static FirstViolation first(Violation violation, History history) throws IOException {
+  private static FirstViolation first(Violation violation, ViolationHistory history)
+      throws IOException {
     return new FirstViolation(
         violation.rule().toString(),
         violation.traceId(),
         violation.detail(),
-        history.of(violation));
+        history.eventsBefore(violation));
   }
 
   private static Map<String, Long> outcomes(List<RequestRecord> requests) {
--- a/soak/src/test/java/loadbalancer/soak/AcceptFailureTest.java
+++ b/soak/src/test/java/loadbalancer/soak/AcceptFailureTest.java
@@ -14,13 +14,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Clients of a listener whose calls of accept fail for a moment. */
+/** Tests that clients are served although {@code accept} fails temporarily. */
 class AcceptFailureTest {
 
   private static final int CLIENTS = 4;
 
-  /** Connections that the network library accepts before it looks at others. */
-  private static final int ACCEPTED_IN_A_TURN = 16;
+  /** Connections that Netty accepts on a listener before it handles other channels. */
+  private static final int ACCEPTS_PER_ITERATION = 16;
 
   private static final long DEADLINE_MILLIS = 800;
 
@@ -30,7 +30,7 @@
     return new SingleProxy(folder, Deployment.of(1, 2), 0, 0).start();
   }
 
-  /** The listener closes 0.55 s after SIGTERM, and accept fails until after that. */
+  /** Accept fails until after 0.55 s from SIGTERM, when the listener is due to close. */
   @Test
   void servesClientsThatCouldNotBeAcceptedBeforeTheListenerWasToClose()
       throws IOException, InterruptedException {
@@ -42,7 +42,7 @@
       List<ClientConnection> clients = new ArrayList<>();
       for (int i = 0; i < CLIENTS; i++) {
         ClientConnection client = proxy.connect();
-        client.write(proxy.read(DEADLINE_MILLIS));
+        client.write(proxy.readRequest(DEADLINE_MILLIS));
         clients.add(client);
       }
       Thread.sleep(500);
@@ -64,7 +64,8 @@
         proxy.process.faults().failNext(Call.ACCEPT, 1, error);
         try (ClientConnection client = proxy.connect()) {
           long before = System.nanoTime();
-          assertEquals(200, SingleProxy.ask(client, proxy.read(400), 400).status(), error::name);
+          assertEquals(
+              200, SingleProxy.exchange(client, proxy.readRequest(400), 400).status(), error::name);
           long tookMillis = (System.nanoTime() - before) / 1_000_000;
           assertTrue(tookMillis < 200, () -> error + " delayed a client by " + tookMillis + " ms");
         }
@@ -73,20 +74,19 @@
     }
   }
 
-  /** A client's time runs while its connection waits to be accepted. */
+  /** The time that a connection waits to be accepted counts towards the deadline. */
   @Test
-  void tellsUpstreamsNoMoreTimeThanIsLeftAfterTheWait() throws IOException, InterruptedException {
-    assertToldNoMoreTimeThanIsLeft(false);
+  void statesNoMoreThanTheRemainingTimeAfterTheWait() throws IOException, InterruptedException {
+    assertStatesNoMoreThanTheRemainingTime(false);
   }
 
-  /** Its request is read in many pieces. */
+  /** The request of a connection that waited to be accepted is read in many pieces. */
   @Test
-  void tellsUpstreamsNoMoreTimeThanIsLeftWhereReadsAreShort()
-      throws IOException, InterruptedException {
-    assertToldNoMoreTimeThanIsLeft(true);
+  void statesNoMoreThanTheRemainingTimeWithShortReads() throws IOException, InterruptedException {
+    assertStatesNoMoreThanTheRemainingTime(true);
   }
 
-  private void assertToldNoMoreTimeThanIsLeft(boolean shortReads)
+  private void assertStatesNoMoreThanTheRemainingTime(boolean shortReads)
       throws IOException, InterruptedException {
     try (SingleProxy proxy = start();
         ClientConnection client = connectWhileAcceptFails(proxy)) {
@@ -94,7 +94,7 @@
         proxy.process.faults().cutShort(Call.READ, 7);
       }
       long sentNanos = System.nanoTime();
-      client.write(SingleProxy.read("waiting", DEADLINE_MILLIS));
+      client.write(SingleProxy.readRequest("waiting", DEADLINE_MILLIS));
       Thread.sleep(400);
       proxy.process.faults().clear(Call.ACCEPT);
       assertEquals(200, client.read(sentNanos + 1_000_000 * DEADLINE_MILLIS).status());
@@ -102,26 +102,29 @@
       long leftMillis = DEADLINE_MILLIS - (attempt.firstByteNanos() - sentNanos) / 1_000_000;
       assertTrue(
           attempt.remainingMillis() <= leftMillis + 150,
-          () -> "told " + attempt.remainingMillis() + " ms, left " + leftMillis + " ms");
+          () -> "stated " + attempt.remainingMillis() + " ms, left " + leftMillis + " ms");
     }
   }
 
-  /** As many clients wait as are accepted in one turn, and the next one comes much later. */
+  /**
+   * Exactly as many clients wait as are accepted in one event loop iteration, and the next one
+   * connects much later. Its wait must not be counted from the earlier failure.
+   */
   @Test
   void countsNoWaitOnceTheQueueWasEmpty() throws IOException, InterruptedException {
     try (SingleProxy proxy = start()) {
       proxy.process.faults().failAll(Call.ACCEPT, Errno.ENFILE);
       List<ClientConnection> waiting = new ArrayList<>();
-      for (int i = 0; i < ACCEPTED_IN_A_TURN; i++) {
+      for (int i = 0; i < ACCEPTS_PER_ITERATION; i++) {
         waiting.add(proxy.connect());
       }
       proxy.process.faults().clear(Call.ACCEPT);
       Thread.sleep(2 * DEADLINE_MILLIS);
-      // Held up, so that the request is there when its connection is accepted.
-      proxy.process.signal("STOP");
+      // The process is stopped, so that the request has arrived when its connection is accepted.
+      proxy.process.sendSignal("STOP");
       try (ClientConnection client = proxy.connect()) {
-        client.write(proxy.read(DEADLINE_MILLIS));
-        proxy.process.signal("CONT");
+        client.write(proxy.readRequest(DEADLINE_MILLIS));
+        proxy.process.sendSignal("CONT");
         long until = System.nanoTime() + 1_000_000 * DEADLINE_MILLIS;
         assertEquals(200, client.read(until).status());
       }
@@ -139,7 +142,7 @@
     try (SingleProxy proxy = start()) {
       proxy.process.faults().failAll(Call.ACCEPT, Errno.ENFILE);
       try (ClientConnection client = proxy.connect()) {
-        client.write(proxy.read(DEADLINE_MILLIS));
+        client.write(proxy.readRequest(DEADLINE_MILLIS));
         Thread.sleep(1000);
         long failures = proxy.process.faults().injected(Call.ACCEPT);
         assertTrue(
--- a/soak/src/test/java/loadbalancer/soak/BlockedLogTest.java
+++ b/soak/src/test/java/loadbalancer/soak/BlockedLogTest.java
@@ -10,10 +10,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A proxy whose log nobody reads. */
+/** Tests that a proxy serves and shuts down although its log is a pipe that nobody reads. */
 class BlockedLogTest {
 
-  /** What a pipe holds on Linux: a write that does not fit waits for a reader. */
+  /** Capacity of a pipe on Linux. A write that does not fit blocks until a reader makes room. */
   private static final int PIPE_BYTES = 1 << 16;
 
   private static final long SERVE_MILLIS = 4000;
@@ -29,24 +29,24 @@
     try (RandomAccessFile open = new RandomAccessFile(pipe.toFile(), "rw");
         SingleProxy proxy = new SingleProxy(folder, Deployment.of(1, 2), 0, 0)) {
       open.write(new byte[PIPE_BYTES]);
-      proxy.process.logTo(pipe);
+      proxy.process.setLogFile(pipe);
       proxy.process.start();
       assertEquals(true, proxy.process.awaitReady(SingleProxy.TIMEOUT_MILLIS), "is ready");
       assertServes(proxy);
       proxy.process.terminate();
-      assertEquals(true, proxy.process.awaitEnd(SingleProxy.TIMEOUT_MILLIS), "ends on SIGTERM");
+      assertEquals(true, proxy.process.awaitExit(SingleProxy.TIMEOUT_MILLIS), "ends on SIGTERM");
       assertEquals(0, proxy.process.exitValue());
     }
     Files.delete(pipe);
   }
 
-  /** For longer than the log's summary lines are apart. */
+  /** Sends requests for longer than the interval between the log's summary lines. */
   private static void assertServes(SingleProxy proxy) throws IOException, InterruptedException {
     long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(SERVE_MILLIS);
     try (ClientConnection client = proxy.connect()) {
       while (System.nanoTime() < until) {
-        String request = proxy.read(DEADLINE_MILLIS);
-        assertEquals(200, SingleProxy.ask(client, request, DEADLINE_MILLIS).status());
+        String request = proxy.readRequest(DEADLINE_MILLIS);
+        assertEquals(200, SingleProxy.exchange(client, request, DEADLINE_MILLIS).status());
         Thread.sleep(INTERVAL_MILLIS);
       }
     }
--- a/soak/src/test/java/loadbalancer/soak/ColdFleetTest.java
+++ b/soak/src/test/java/loadbalancer/soak/ColdFleetTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A proxy that starts where all endpoints have started together. */
+/** Tests a proxy whose endpoints were all started at about the same time. */
 class ColdFleetTest {
 
   private static final int ENDPOINTS = 4;
@@ -19,7 +19,9 @@
 
   @TempDir Path folder;
 
-  /** It cannot know that this was long ago, and has no traffic of its own to go by. */
+  /**
+   * The proxy does not know that they started long ago and has seen no traffic to infer it from.
+   */
   @Test
   void servesBeforeItKnowsThatItsEndpointsAreWarm() throws IOException, InterruptedException {
     long started = System.currentTimeMillis() - AGE_MILLIS;
@@ -30,13 +32,13 @@
       long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(SERVE_MILLIS);
       try (ClientConnection client = proxy.connect()) {
         for (; System.nanoTime() < until; sent++) {
-          String request = proxy.read(DEADLINE_MILLIS);
-          served += SingleProxy.ask(client, request, DEADLINE_MILLIS).status() == 200 ? 1 : 0;
+          String request = proxy.readRequest(DEADLINE_MILLIS);
+          served += SingleProxy.exchange(client, request, DEADLINE_MILLIS).status() == 200 ? 1 : 0;
           Thread.sleep(INTERVAL_MILLIS);
         }
       }
-      double part = served / (double) sent;
-      assertTrue(part > 0.6, "part served: " + part + " of " + sent);
+      double servedFraction = served / (double) sent;
+      assertTrue(servedFraction > 0.6, "fraction served: " + servedFraction + " of " + sent);
     }
   }
 }
--- a/soak/src/test/java/loadbalancer/soak/DiscoveryReturnTest.java
+++ b/soak/src/test/java/loadbalancer/soak/DiscoveryRecoveryTest.java
@@ -9,39 +9,41 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What the agent gets at the return of discovery counts at once. */
-class DiscoveryReturnTest {
+/** Tests that a change published when discovery recovers takes effect immediately. */
+class DiscoveryRecoveryTest {
 
   private static final long DEADLINE_MILLIS = 400;
   private static final long SERVE_MILLIS = 1500;
 
-  /** What every time limit grows by on real sockets. */
+  /** Tolerance added to time limits because real sockets delay events. */
   private static final long SLACK_MILLIS = 50;
 
   @TempDir Path folder;
 
-  /** The agent passes over a call, and in that moment discovery returns, with a drain. */
+  /**
+   * The agent ignores a request, and right afterwards discovery recovers with a draining endpoint.
+   */
   @Test
-  void heedsADrainThatComesWithTheReturnOfDiscovery() throws IOException, InterruptedException {
+  void followsADrainPublishedWhenDiscoveryRecovers() throws IOException, InterruptedException {
     Deployment deployment = Deployment.of(1, 3);
     try (SingleProxy proxy = new SingleProxy(folder, deployment, 0, 0, 0).start()) {
       proxy.agent.setDown(true);
       proxy.agent.resetWatches();
-      proxy.agent.awaitIgnoredCalls(4);
-      StandInUpstream leaving = proxy.upstreams.get(0);
-      int revision = proxy.list(leaving, EndpointEntry.Phase.DRAINING, 0);
+      proxy.agent.awaitIgnoredRequests(4);
+      FakeUpstream leaving = proxy.upstreams.get(0);
+      int revision = proxy.addChange(leaving, EndpointEntry.Phase.DRAINING, 0);
       long notifiedNanos = System.nanoTime();
-      proxy.agent.learn(revision);
+      proxy.agent.advanceTo(revision);
       proxy.agent.setDown(false);
       serve(proxy);
       long graceNanos = TimeUnit.MILLISECONDS.toNanos(deployment.drainGraceMillis() + SLACK_MILLIS);
-      long late =
+      long lateAttempts =
           proxy.attempts.all().stream()
               .flatMap(List::stream)
               .filter(attempt -> attempt.endpoint().equals(leaving.name()))
               .filter(attempt -> attempt.firstByteNanos() > notifiedNanos + graceNanos)
               .count();
-      assertEquals(0, late, "attempts after the grace");
+      assertEquals(0, lateAttempts, "attempts after the grace");
     }
   }
 
@@ -49,7 +51,7 @@
     long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(SERVE_MILLIS);
     try (ClientConnection client = proxy.connect()) {
       while (System.nanoTime() < until) {
-        SingleProxy.ask(client, proxy.read(DEADLINE_MILLIS), DEADLINE_MILLIS);
+        SingleProxy.exchange(client, proxy.readRequest(DEADLINE_MILLIS), DEADLINE_MILLIS);
       }
     }
   }
--- a/soak/src/test/java/loadbalancer/soak/PipelineTest.java
+++ b/soak/src/test/java/loadbalancer/soak/PipelineTest.java
@@ -11,28 +11,29 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Requests that a client sends at once, on a connection on which responses keep their order. */
+/** Tests pipelined requests, whose responses are sent in the order of the requests. */
 class PipelineTest {
 
-  /** A final response may come so long after the deadline. */
-  private static final long LATE_MILLIS = 500;
+  /** Maximum time after the deadline at which a final response may arrive. */
+  private static final long MAX_LATE_MILLIS = 500;
 
-  private static final long SHORT_MILLIS = 300;
+  private static final long SHORT_DEADLINE_MILLIS = 300;
 
   @TempDir Path folder;
 
-  /** The first one hangs at its endpoint for longer than the second one's client waits. */
+  /** The endpoint does not respond to the first request before the second one's deadline. */
   @Test
   void respondsInTimeToARequestBehindOneThatHangs() throws IOException, InterruptedException {
     Deployment deployment = Deployment.of(1, 2);
     try (SingleProxy proxy = new SingleProxy(folder, deployment, 0, 0).start();
         ClientConnection client = proxy.connect()) {
-      proxy.upstreams.forEach(upstream -> upstream.setMode(StandInUpstream.Mode.HANGING));
+      proxy.upstreams.forEach(upstream -> upstream.setMode(FakeUpstream.Mode.HANGING));
       RequestKind publish = deployment.kind("publish");
-      String first = new RequestRecord("first", publish, 0, 0, publish.deadlineMillis()).text();
+      String first = new RequestRecord("first", publish, 0, 0, publish.deadlineMillis()).toHttp();
       long sentNanos = System.nanoTime();
-      client.write(first + SingleProxy.read("second", SHORT_MILLIS));
-      long until = sentNanos + TimeUnit.MILLISECONDS.toNanos(SHORT_MILLIS + LATE_MILLIS);
+      client.write(first + SingleProxy.readRequest("second", SHORT_DEADLINE_MILLIS));
+      long until =
+          sentNanos + TimeUnit.MILLISECONDS.toNanos(SHORT_DEADLINE_MILLIS + MAX_LATE_MILLIS);
       Response firstResponse = client.read(until);
       assertEquals(End.RESPONSE, firstResponse.end());
       assertTrue(firstResponse.status() >= 500 && firstResponse.status() != 503, "may have run");
--- a/soak/src/test/java/loadbalancer/soak/SingleProxy.java
+++ b/soak/src/test/java/loadbalancer/soak/SingleProxy.java
@@ -12,10 +12,10 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** One proxy process with its upstreams and its discovery agent. */
+/** Test fixture of one proxy process with its upstreams and its discovery agent. */
 final class SingleProxy implements AutoCloseable {
 
-  /** A generous limit for what has to happen: no test passes by its running out. */
+  /** Limit of waits for required events. No test passes when it expires. */
   static final long TIMEOUT_MILLIS = 60_000;
 
   private static final Path HOME = Path.of(System.getProperty("proxy.home")).toAbsolutePath();
@@ -24,7 +24,7 @@
 
   final EndpointCatalogue catalogue = new EndpointCatalogue();
   final AttemptLog attempts = new AttemptLog();
-  final List<StandInUpstream> upstreams = new ArrayList<>();
+  final List<FakeUpstream> upstreams = new ArrayList<>();
   final ProxyProcess process;
   final DiscoveryAgent agent;
   private final Deployment deployment;
@@ -33,9 +33,9 @@
   private int requests;
 
   /**
-   * Prepares all but the start of the process.
+   * Starts the upstreams and the agent and configures the proxy, but does not start its process.
    *
-   * @param startedUnixMillis of each upstream; 0 for one that has run for long
+   * @param startedUnixMillis the start time of each upstream; 0 if it started long ago
    */
   SingleProxy(Path folder, Deployment deployment, long... startedUnixMillis)
       throws IOException, InterruptedException {
@@ -43,19 +43,22 @@
     Files.createDirectories(folder);
     process = new ProxyProcess(HOME, folder.resolve("n0"), FaultLibrary.build(HOME, folder), SEED);
     for (long started : startedUnixMillis) {
-      StandInUpstream upstream =
-          new StandInUpstream(
+      FakeUpstream upstream =
+          new FakeUpstream(
               group.next(), "s" + upstreams.size(), attempts, UPSTREAM_LATENCY_MILLIS, SEED);
       upstream.start(started);
       upstreams.add(upstream);
-      list(upstream, EndpointEntry.Phase.READY, started);
+      addChange(upstream, EndpointEntry.Phase.READY, started);
     }
     agent = new DiscoveryAgent(group.next(), catalogue);
     configure(agent);
   }
 
-  /** Changes the list; the agent has it from {@link DiscoveryAgent#learn} on. */
-  int list(StandInUpstream upstream, EndpointEntry.Phase phase, long startedUnixMillis) {
+  /**
+   * Adds a change to the catalogue and returns its revision. The agent publishes it after {@link
+   * DiscoveryAgent#advanceTo}.
+   */
+  int addChange(FakeUpstream upstream, EndpointEntry.Phase phase, long startedUnixMillis) {
     return catalogue.add(
         new EndpointEntry(upstream.name(), upstream.address(), phase, startedUnixMillis));
   }
@@ -66,11 +69,11 @@
             0,
             process.address(),
             discovery.address(),
-            catalogue.complete(catalogue.revision(), false),
+            catalogue.completeList(catalogue.revision(), false),
             SEED));
   }
 
-  /** Another agent, with the present list of another catalogue. */
+  /** Returns another agent, with the current list of another catalogue. */
   DiscoveryAgent newAgent(EndpointCatalogue other) {
     return new DiscoveryAgent(group.next(), other);
   }
@@ -93,12 +96,12 @@
     return new ClientConnection(process.port());
   }
 
-  /** An idempotent request with a trace id of its own. */
-  String read(long remainingMillis) {
-    return read("t" + requests++, remainingMillis);
+  /** Returns an idempotent request with a unique trace id. */
+  String readRequest(long remainingMillis) {
+    return readRequest("t" + requests++, remainingMillis);
   }
 
-  static String read(String traceId, long remainingMillis) {
+  static String readRequest(String traceId, long remainingMillis) {
     return "GET /api HTTP/1.1\r\nHost: backend.local\r\nX-Trace-Id: "
         + traceId
         + "\r\nX-Qos: read\r\nX-Customer: all\r\nX-Expires-In-Ms: "
@@ -106,15 +109,15 @@
         + "\r\n\r\n";
   }
 
-  /** Sends a request and waits for its response, for as long as the client does. */
-  static ClientConnection.Response ask(ClientConnection client, String request, long waitMillis)
-      throws IOException {
+  /** Sends a request and waits for its response, at most for the given time. */
+  static ClientConnection.Response exchange(
+      ClientConnection client, String request, long waitMillis) throws IOException {
     client.write(request);
     return client.read(System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(waitMillis));
   }
 
-  /** The number of attempts that have reached an upstream. */
-  long attemptsAt(StandInUpstream upstream) {
+  /** Returns the number of attempts that have reached an upstream. */
+  long attemptsAt(FakeUpstream upstream) {
     return attempts.all().stream()
         .flatMap(List::stream)
         .filter(attempt -> attempt.endpoint().equals(upstream.name()))
@@ -125,7 +128,7 @@
   public void close() {
     process.close();
     agent.close();
-    upstreams.forEach(StandInUpstream::close);
+    upstreams.forEach(FakeUpstream::close);
     group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
   }
 }
