--- a/src/main/java/loadbalancer/discovery/DiscoveryClient.java
+++ b/src/main/java/loadbalancer/discovery/DiscoveryClient.java
@@ -38,7 +38,7 @@
   private boolean isFailing;
 
   /** The number of consecutive calls that timed out before a list was received. */
-  private int consecutiveTimeouts;
+  private int timeoutsSinceLastList;
 
   /**
    * Creates a client that makes no call until {@link #watch} or {@link #fetch} is called.
@@ -71,7 +71,7 @@
   public void changeAddress(InetSocketAddress newAddress) {
     if (!newAddress.equals(address)) {
       address = newAddress;
-      consecutiveTimeouts = 0;
+      timeoutsSinceLastList = 0;
       watch(isWatchEnabled);
     }
   }
@@ -111,7 +111,7 @@
 
   private StreamLimits limits() {
     return new StreamLimits(
-        DiscoveryTimeouts.firstListTimeoutMillis(isPushed, consecutiveTimeouts),
+        DiscoveryTimeouts.firstListTimeoutMillis(isPushed, timeoutsSinceLastList),
         firstByteTimeoutMillis);
   }
 
@@ -124,14 +124,14 @@
         LOG.info("discovery_recovered address=" + address);
         isFailing = false;
       }
-      consecutiveTimeouts = 0;
+      timeoutsSinceLastList = 0;
       updates.accept(list.complete() ? UpdateKind.FULL : UpdateKind.DELTA, list);
     }
 
     @Override
     public void failed(DiscoveryStream stream, DiscoveryFailure failure, String detail) {
       if (failure.isTimeout() && !stream.hasReceivedList()) {
-        consecutiveTimeouts++;
+        timeoutsSinceLastList++;
       }
       if (currentWatch == stream) {
         currentWatch = null;
--- a/src/main/java/loadbalancer/discovery/DiscoveryTimeouts.java
+++ b/src/main/java/loadbalancer/discovery/DiscoveryTimeouts.java
@@ -68,13 +68,14 @@
    * Returns the maximum time until a call receives its first list.
    *
    * @param isPushed whether the list is pushed by an agent on this machine
-   * @param consecutiveTimeouts the number of preceding calls in a row that timed out without a list
+   * @param timeoutsSinceLastList the number of preceding calls in a row that timed out without a
+   *     list
    */
-  static long firstListTimeoutMillis(boolean isPushed, int consecutiveTimeouts) {
+  static long firstListTimeoutMillis(boolean isPushed, int timeoutsSinceLastList) {
     if (isPushed) {
       return AGENT_FIRST_LIST_TIMEOUT_MILLIS;
     }
-    int doublings = Math.min(consecutiveTimeouts, MAX_DOUBLINGS);
+    int doublings = Math.min(timeoutsSinceLastList, MAX_DOUBLINGS);
     return Math.min(SILENCE_TIMEOUT_MILLIS, POLL_FIRST_LIST_TIMEOUT_MILLIS << doublings);
   }
 }
--- a/src/main/java/loadbalancer/discovery/EndpointDirectory.java
+++ b/src/main/java/loadbalancer/discovery/EndpointDirectory.java
@@ -117,7 +117,7 @@
   public EndpointListUpdate apply(UpdateKind kind, EndpointList list) {
     restartedEndpoints.clear();
     long now = clock.nowNanos();
-    if (!isAcceptable(kind, list, now)) {
+    if (!checkAcceptable(kind, list, now)) {
       return new EndpointListUpdate(UpdateKind.DELTA, List.of());
     }
     revision = list.revision();
@@ -182,7 +182,7 @@
    * bring back endpoints that are gone. A discovery that has lost its state sends an empty list;
    * the known endpoints remain in use then. A list without a revision is never outdated.
    */
-  private boolean isAcceptable(UpdateKind kind, EndpointList list, long now) {
+  private boolean checkAcceptable(UpdateKind kind, EndpointList list, long now) {
     boolean isOutdated = list.revision() > 0 && list.revision() < revision;
     if (isOutdated && !isDiscoveryBehind) {
       behindSinceNanos = now;
--- a/src/main/java/loadbalancer/upstream/IdleConnections.java
+++ b/src/main/java/loadbalancer/upstream/IdleConnections.java
@@ -89,8 +89,8 @@
   }
 
   /** Records whether a connection that was reused after an idle time broke before its response. */
-  void recordReuse(long idleNanos, boolean broken) {
-    reusePolicy.recordReuse(System.nanoTime(), idleNanos, broken);
+  void recordReuse(long idleNanos, boolean hasBroken) {
+    reusePolicy.recordReuse(System.nanoTime(), idleNanos, hasBroken);
   }
 
   /** Records unexpected bytes as a second response if the connection is idle. */
--- a/src/main/java/loadbalancer/upstream/IdleReusePolicy.java
+++ b/src/main/java/loadbalancer/upstream/IdleReusePolicy.java
@@ -36,16 +36,16 @@
    *
    * @param nowNanos a reading of {@link System#nanoTime()}
    * @param idleNanos the idle time before the reuse
-   * @param broken whether the connection broke before its response started
+   * @param hasBroken whether the connection broke before its response started
    */
-  void recordReuse(long nowNanos, long idleNanos, boolean broken) {
+  void recordReuse(long nowNanos, long idleNanos, boolean hasBroken) {
     double decay = decayAt(nowNanos);
     for (int i = 0; i < BUCKET_COUNT; i++) {
       workingCounts[i] *= decay;
       brokenCounts[i] *= decay;
     }
     lastDecayNanos = nowNanos;
-    double[] counts = broken ? brokenCounts : workingCounts;
+    double[] counts = hasBroken ? brokenCounts : workingCounts;
     counts[bucket(idleNanos)]++;
   }
 
--- a/src/main/java/loadbalancer/upstream/ResponseStartCheck.java
+++ b/src/main/java/loadbalancer/upstream/ResponseStartCheck.java
@@ -38,7 +38,7 @@
   }
 
   /** Returns whether a response has started and is not yet complete. */
-  boolean hasStarted() {
+  boolean hasResponseStarted() {
     return matchedBytes > 0;
   }
 
@@ -57,7 +57,7 @@
     ByteBuf bytes = (ByteBuf) message;
     if (connection.hasCall() && matchesStart(bytes)) {
       context.fireChannelRead(bytes);
-      if (connection.hasCall() && !hasStarted() && decoder.hasPartialResponse()) {
+      if (connection.hasCall() && !hasResponseStarted() && decoder.hasPartialResponse()) {
         // An informational response ended within these bytes, and the next response has started.
         matchedBytes = RESPONSE_START.length;
       }
@@ -82,7 +82,7 @@
   @Override
   public void channelReadComplete(ChannelHandlerContext context) {
     context.fireChannelReadComplete();
-    if (connection.hasCall() && hasStarted() && completionTimeout == null) {
+    if (connection.hasCall() && hasResponseStarted() && completionTimeout == null) {
       completionTimeout =
           context
               .channel()
--- a/src/main/java/loadbalancer/upstream/UpstreamConnection.java
+++ b/src/main/java/loadbalancer/upstream/UpstreamConnection.java
@@ -184,7 +184,7 @@
 
   @Override
   public void channelInactive(ChannelHandlerContext context) {
-    if (call != null && !call.isDone() && !startCheck.hasStarted()) {
+    if (call != null && !call.isDone() && !startCheck.hasResponseStarted()) {
       recordReuse(true);
     }
     startCheck.reset();
@@ -195,9 +195,9 @@
     }
   }
 
-  private void recordReuse(boolean broken) {
+  private void recordReuse(boolean hasBroken) {
     if (idleBeforeCallNanos != NOT_REUSED) {
-      idleConnections.recordReuse(idleBeforeCallNanos, broken);
+      idleConnections.recordReuse(idleBeforeCallNanos, hasBroken);
       idleBeforeCallNanos = NOT_REUSED;
     }
   }
--- a/src/test/java/loadbalancer/discovery/DiscoveryRecoveryTest.java
+++ b/src/test/java/loadbalancer/discovery/DiscoveryRecoveryTest.java
@@ -48,12 +48,12 @@
   @Test
   void updateArrivesInTimeAfterTwoSilentWatches() throws Exception {
     ScriptedEngine engine = passiveEngine();
-    AtomicInteger watches = new AtomicInteger();
+    AtomicInteger watchCount = new AtomicInteger();
     AtomicLong silentAtNanos = new AtomicLong();
     FakeServer.Script script =
         connection -> {
           connection.readRequest();
-          switch (watches.incrementAndGet()) {
+          switch (watchCount.incrementAndGet()) {
             case 1 -> {
               connection.write(
                   DiscoveryMessages.watchResponse(
@@ -75,7 +75,7 @@
       assertEquals("DELTA 1 DRAINING", nextUpdate(engine));
       long elapsedMillis = millisSince(silentAtNanos);
       assertTrue(elapsedMillis < 6000, "the update took " + elapsedMillis + " ms");
-      assertEquals(3, watches.get());
+      assertEquals(3, watchCount.get());
     }
   }
 
@@ -145,13 +145,13 @@
 
   private static long millisToUpdate(FailingCall failingCall, int failureCount, String mode)
       throws Exception {
-    AtomicInteger calls = new AtomicInteger();
-    AtomicLong reachableAtNanos = new AtomicLong();
+    AtomicInteger callCount = new AtomicInteger();
+    AtomicLong lastFailureStartNanos = new AtomicLong();
     FakeServer.Script script =
         connection -> {
           connection.readRequest();
-          if (calls.incrementAndGet() <= failureCount) {
-            reachableAtNanos.set(System.nanoTime());
+          if (callCount.incrementAndGet() <= failureCount) {
+            lastFailureStartNanos.set(System.nanoTime());
             failingCall.script.run(connection);
           } else {
             connection.write(
@@ -167,7 +167,7 @@
         EndpointListUpdate update =
             fullUpdates.poll(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS);
         assertEquals("FULL 1 DRAINING", describe(update));
-        return millisSince(reachableAtNanos);
+        return millisSince(lastFailureStartNanos);
       }
     }
   }
--- a/src/test/java/loadbalancer/discovery/DiscoveryTimeoutsTest.java
+++ b/src/test/java/loadbalancer/discovery/DiscoveryTimeoutsTest.java
@@ -27,14 +27,14 @@
     // A watch falls silent just before the update. The watch that replaces it receives no list, and
     // where lists are pushed neither does the one after that.
     long silentMillis = DiscoveryTimeouts.SILENCE_TIMEOUT_MILLIS + checkMillis;
-    int deadWatches = isPushed ? 2 : 1;
-    for (int failures = 0; failures < deadWatches; failures++) {
+    int watchesWithoutList = isPushed ? 2 : 1;
+    for (int failures = 0; failures < watchesWithoutList; failures++) {
       silentMillis +=
           backoffMillis(isPushed, failures)
               + DiscoveryTimeouts.firstListTimeoutMillis(isPushed, failures)
               + checkMillis;
     }
-    silentMillis += backoffMillis(isPushed, deadWatches);
+    silentMillis += backoffMillis(isPushed, watchesWithoutList);
     assertWithinDeadline("silent watches", silentMillis + marginMillis);
     // Two consecutive lists are truncated.
     long truncatedMillis =
--- a/src/test/java/loadbalancer/discovery/DiscoveryWatchTest.java
+++ b/src/test/java/loadbalancer/discovery/DiscoveryWatchTest.java
@@ -100,7 +100,7 @@
    * incomplete.
    */
   @Test
-  void acceptsListsWhosePiecesOverlap() throws Exception {
+  void acceptsChunksThatEndOneListAndStartTheNext() throws Exception {
     ScriptedEngine engine = watchingEngine();
     FakeServer.Script script =
         connection -> {
--- a/src/test/java/loadbalancer/discovery/EndpointDirectoryTest.java
+++ b/src/test/java/loadbalancer/discovery/EndpointDirectoryTest.java
@@ -22,7 +22,7 @@
   private final MonotonicClock clock = new MonotonicClock();
   private final EndpointDirectory directory = new EndpointDirectory(clock);
 
-  private List<Long> apply(int revision, Member... members) {
+  private List<Long> applyAndGetIds(int revision, Member... members) {
     EndpointList list = new EndpointList(revision, true, List.of(members));
     return directory.apply(UpdateKind.FULL, list).endpoints().stream().map(e -> e.id()).toList();
   }
@@ -37,58 +37,58 @@
   void idsAreFnv1aHashesOfTheNames() {
     assertEquals(
         List.of(0xaf63dc4c8601ec8cL, 0x85944171f73967e8L),
-        apply(1, member("a", 1, 0), member("foobar", 2, 0)));
+        applyAndGetIds(1, member("a", 1, 0), member("foobar", 2, 0)));
   }
 
   @Test
   void idsStayAcrossDepartureAndReturn() {
-    List<Long> before = apply(1, member("a", 1, 0), member("b", 2, 0));
-    apply(2, member("b", 2, 0));
-    assertEquals(before, apply(3, member("a", 1, 0), member("b", 2, 0)));
+    List<Long> before = applyAndGetIds(1, member("a", 1, 0), member("b", 2, 0));
+    applyAndGetIds(2, member("b", 2, 0));
+    assertEquals(before, applyAndGetIds(3, member("a", 1, 0), member("b", 2, 0)));
   }
 
   @Test
   void endpointsWithAnotherAddressOrStartTimeHaveRestarted() {
-    List<Long> ids = apply(1, member("a", 1, 5), member("b", 2, 5), member("c", 3, 5));
+    List<Long> ids = applyAndGetIds(1, member("a", 1, 5), member("b", 2, 5), member("c", 3, 5));
     assertEquals(List.of(), directory.restartedEndpoints());
-    apply(2, member("a", 1, 6), member("b", 9, 5), member("c", 3, 5));
+    applyAndGetIds(2, member("a", 1, 6), member("b", 9, 5), member("c", 3, 5));
     assertEquals(ids.subList(0, 2), directory.restartedEndpoints());
-    apply(3, member("a", 1, 6), member("b", 9, 5), member("c", 3, 5));
+    applyAndGetIds(3, member("a", 1, 6), member("b", 9, 5), member("c", 3, 5));
     assertEquals(List.of(), directory.restartedEndpoints());
   }
 
-  private List<Endpoint> delta(int revision, Member... members) {
+  private List<Endpoint> applyDelta(int revision, Member... members) {
     EndpointList list = new EndpointList(revision, false, List.of(members));
     return directory.apply(UpdateKind.DELTA, list).endpoints();
   }
 
-  private List<Endpoint> complete(UpdateKind kind, int revision, Member... members) {
+  private List<Endpoint> applyComplete(UpdateKind kind, int revision, Member... members) {
     return directory.apply(kind, new EndpointList(revision, true, List.of(members))).endpoints();
   }
 
   /** The endpoint with the latest start may have just started; the others are older accordingly. */
   @Test
-  void startTimesKeepTheirDifferencesAndLongAgoStaysLongAgo() {
-    long before = clock.nowNanos();
+  void startTimesKeepTheirDifferencesAndStartLongAgoIsZero() {
+    long beforeNanos = clock.nowNanos();
     List<Endpoint> endpoints =
-        complete(
+        applyComplete(
             UpdateKind.FULL,
             1,
             member("a", 1, 0),
             member("b", 2, 1_000_000),
             member("c", 3, 1_007_000));
     assertEquals(0, endpoints.get(0).startedNanos(), "started long ago");
-    assertTrue(endpoints.get(2).startedNanos() >= before, "may have started just now");
+    assertTrue(endpoints.get(2).startedNanos() >= beforeNanos, "may have started just now");
     assertEquals(
         7 * SECOND_NANOS, endpoints.get(2).startedNanos() - endpoints.get(1).startedNanos());
   }
 
   @Test
-  void startTimeBecomesEarlierWithLaterStatements() {
+  void startTimeBecomesEarlierOnceLaterStartsAreStated() {
     List<Endpoint> first =
-        complete(UpdateKind.CACHED, 1, member("a", 1, 1_000_000), member("b", 2, 1_001_000));
+        applyComplete(UpdateKind.CACHED, 1, member("a", 1, 1_000_000), member("b", 2, 1_001_000));
     assertTrue(first.get(1).startedNanos() <= clock.nowNanos());
-    List<Endpoint> later = delta(2, member("c", 3, 1_501_000), member("a", 1, 1_000_000));
+    List<Endpoint> later = applyDelta(2, member("c", 3, 1_501_000), member("a", 1, 1_000_000));
     assertTrue(later.get(0).startedNanos() <= clock.nowNanos(), "not in the future");
     assertEquals(
         501 * SECOND_NANOS,
@@ -99,21 +99,25 @@
   /** Holds for any stated start, because the clock of the stating machine may be behind. */
   @Test
   void startSeenOnWatchIsNotBeforePreviousUpdate() {
-    complete(UpdateKind.FULL, 1, member("a", 1, 9_000_000), member("b", 2, 0));
-    long between = clock.nowNanos();
-    delta(2, member("b", 2, 0));
-    List<Endpoint> later = delta(3, member("a", 1, 5_000_000), member("c", 3, 6_000_000));
-    assertTrue(later.get(0).startedNanos() >= between, "restarted after the previous update");
-    assertTrue(later.get(1).startedNanos() >= between, "listed after the previous update");
+    applyComplete(UpdateKind.FULL, 1, member("a", 1, 9_000_000), member("b", 2, 0));
+    long betweenUpdatesNanos = clock.nowNanos();
+    applyDelta(2, member("b", 2, 0));
+    List<Endpoint> later = applyDelta(3, member("a", 1, 5_000_000), member("c", 3, 6_000_000));
+    assertTrue(
+        later.get(0).startedNanos() >= betweenUpdatesNanos, "restarted after the previous update");
+    assertTrue(
+        later.get(1).startedNanos() >= betweenUpdatesNanos, "listed after the previous update");
   }
 
   @Test
   void startTimeOutOfRangeCountsAsNow() {
-    long before = clock.nowNanos();
+    long beforeNanos = clock.nowNanos();
     List<Endpoint> endpoints =
-        complete(UpdateKind.FULL, 1, member("a", 1, Long.MAX_VALUE), member("b", 2, 1_000_000));
+        applyComplete(
+            UpdateKind.FULL, 1, member("a", 1, Long.MAX_VALUE), member("b", 2, 1_000_000));
     for (Endpoint endpoint : endpoints) {
-      assertTrue(endpoint.startedNanos() >= before && endpoint.startedNanos() <= clock.nowNanos());
+      assertTrue(
+          endpoint.startedNanos() >= beforeNanos && endpoint.startedNanos() <= clock.nowNanos());
     }
   }
 }
--- a/src/test/java/loadbalancer/upstream/AttemptLimitTest.java
+++ b/src/test/java/loadbalancer/upstream/AttemptLimitTest.java
@@ -31,13 +31,13 @@
   void doesNotSendMoreAttemptsThanAllowed() throws Exception {
     ScriptedEngine engine =
         new ScriptedEngine(
-            (event, out) -> {
+            (event, actions) -> {
               if (event instanceof RequestArrived request) {
-                out.accept(new StartAttempt(request.requestId(), FIRST_ENDPOINT, 0));
+                actions.accept(new StartAttempt(request.requestId(), FIRST_ENDPOINT, 0));
               } else if (event instanceof AttemptEnded ended && ended.attempt() < 6) {
-                out.accept(new StartAttempt(ended.requestId(), FIRST_ENDPOINT, 0));
+                actions.accept(new StartAttempt(ended.requestId(), FIRST_ENDPOINT, 0));
               } else if (event instanceof AttemptEnded ended) {
-                out.accept(new FailRequest(ended.requestId()));
+                actions.accept(new FailRequest(ended.requestId()));
               }
             });
     try (FakeServer upstream =
@@ -57,50 +57,51 @@
   void closesIdleConnectionsAtDescriptorLimitAndThenFailsAttempts() throws Exception {
     ScriptedEngine engine =
         new ScriptedEngine(
-            (event, out) -> {
+            (event, actions) -> {
               if (event instanceof RequestArrived request) {
-                boolean second = "true".equals(request.tenant());
-                long endpoint = second ? SECOND_ENDPOINT : FIRST_ENDPOINT;
-                out.accept(new StartAttempt(request.requestId(), endpoint, 0));
+                boolean isForSecondEndpoint = "true".equals(request.tenant());
+                long endpoint = isForSecondEndpoint ? SECOND_ENDPOINT : FIRST_ENDPOINT;
+                actions.accept(new StartAttempt(request.requestId(), endpoint, 0));
               } else if (event instanceof AttemptEnded ended && !ended.isRequestAnswered()) {
-                out.accept(new FailRequest(ended.requestId()));
+                actions.accept(new FailRequest(ended.requestId()));
               }
             });
-    CountDownLatch done = new CountDownLatch(1);
-    try (FakeServer idle = FakeServer.respondingWith(FakeServer.ok("x"));
-        FakeServer busy =
+    CountDownLatch testDone = new CountDownLatch(1);
+    try (FakeServer idleUpstream = FakeServer.respondingWith(FakeServer.ok("x"));
+        FakeServer busyUpstream =
             new FakeServer(
                 connection -> {
                   connection.readRequest();
-                  done.await();
+                  testDone.await();
                 });
-        ProxyFixture proxy = new ProxyFixture(configWithSixConnections(idle, busy), engine);
-        Client first = proxy.client();
-        Client second = proxy.client();
-        Client third = proxy.client()) {
+        ProxyFixture proxy =
+            new ProxyFixture(configWithRoomForSixConnections(idleUpstream, busyUpstream), engine);
+        Client firstClient = proxy.client();
+        Client secondClient = proxy.client();
+        Client thirdClient = proxy.client()) {
       // The limit leaves room for three client connections and three upstream connections.
-      first.exchange(ProxyFixture.get("t1", ""));
+      firstClient.exchange(ProxyFixture.get("t1", ""));
       assertEquals(AttemptStatus.SUCCESS, engine.awaitEvent(AttemptEnded.class).status());
-      List<Client> clients = List.of(second, third, first);
+      List<Client> clients = List.of(secondClient, thirdClient, firstClient);
       for (int i = 0; i < 3; i++) {
         clients.get(i).write(ProxyFixture.get("busy" + i, "X-Customer: true\r\n"));
         assertNotNull(
-            busy.requests.poll(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS),
+            busyUpstream.requests.poll(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS),
             "the third connection replaces the idle one");
       }
-      try (Client last = proxy.client()) {
-        last.exchange(ProxyFixture.get("t4", "X-Customer: true\r\n"));
+      try (Client lastClient = proxy.client()) {
+        lastClient.exchange(ProxyFixture.get("t4", "X-Customer: true\r\n"));
       }
       assertEquals(
           AttemptStatus.NOT_SENT,
           engine.awaitEvent(AttemptEnded.class).status(),
           "no idle connection is left to close, and the endpoint is not at fault");
-      done.countDown();
+      testDone.countDown();
     }
   }
 
   /** Returns a configuration whose descriptor limit leaves room for six connections. */
-  private static BalancerConfig configWithSixConnections(FakeServer first, FakeServer second)
+  private static BalancerConfig configWithRoomForSixConnections(FakeServer first, FakeServer second)
       throws Exception {
     String list =
         ProxyFixture.endpointListJson(
--- a/src/test/java/loadbalancer/upstream/AttemptTimeoutTest.java
+++ b/src/test/java/loadbalancer/upstream/AttemptTimeoutTest.java
@@ -40,12 +40,12 @@
   @Test
   void timeoutClosesConnectionAndDropsLateResponse() throws Exception {
     ScriptedEngine engine = new ScriptedEngine(TimeUnit.MILLISECONDS.toNanos(200));
-    CountDownLatch late = new CountDownLatch(1);
+    CountDownLatch lateResponseAllowed = new CountDownLatch(1);
     try (FakeServer upstream =
             new FakeServer(
                 connection -> {
                   if (connection.readRequest().contains("X-Trace-Id: slow")) {
-                    late.await();
+                    lateResponseAllowed.await();
                     connection.write(FakeServer.ok("late"));
                   } else {
                     connection.write(FakeServer.ok("fresh"));
@@ -55,9 +55,9 @@
         Client client = proxy.client()) {
       assertTrue(client.exchange(ProxyFixture.get("slow", "")).startsWith("HTTP/1.1 502 "));
       assertEquals(AttemptStatus.TIMEOUT, engine.awaitEvent(AttemptEnded.class).status());
-      FakeServer.Connection slow = upstream.connections.take();
-      assertTrue(slow.awaitClose(), "closed before the response was written");
-      late.countDown();
+      FakeServer.Connection slowConnection = upstream.connections.take();
+      assertTrue(slowConnection.awaitClose(), "closed before the response was written");
+      lateResponseAllowed.countDown();
       assertTrue(client.exchange(ProxyFixture.get("next", "")).endsWith("\r\n\r\nfresh"));
       assertEquals(1, upstream.connections.size(), "on a new connection");
       assertEquals(AttemptStatus.SUCCESS, engine.awaitEvent(AttemptEnded.class).status());
--- a/src/test/java/loadbalancer/upstream/ConnectFailureTest.java
+++ b/src/test/java/loadbalancer/upstream/ConnectFailureTest.java
@@ -20,12 +20,12 @@
 
   @Test
   void failsToConnectWhenConnectionIsRefused() throws Exception {
-    String closed;
+    String closedAddress;
     try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-      closed = "127.0.0.1:" + socket.getLocalPort();
+      closedAddress = "127.0.0.1:" + socket.getLocalPort();
     }
     ScriptedEngine engine = new ScriptedEngine(SingleEndpoint.LONG_TIMEOUT_NANOS);
-    try (ProxyFixture proxy = new ProxyFixture(SingleEndpoint.config(closed), engine);
+    try (ProxyFixture proxy = new ProxyFixture(SingleEndpoint.config(closedAddress), engine);
         Client client = proxy.client()) {
       client.exchange(ProxyFixture.get("t", ""));
       assertEquals(AttemptStatus.CONNECT_FAILED, engine.awaitEvent(AttemptEnded.class).status());
--- a/src/test/java/loadbalancer/upstream/ConnectionReuseTest.java
+++ b/src/test/java/loadbalancer/upstream/ConnectionReuseTest.java
@@ -57,11 +57,11 @@
   @Test
   void doesNotReuseConnectionPastIdleTimeoutBetweenSweeps() throws Exception {
     try (FakeServer upstream = FakeServer.respondingWith(FakeServer.ok("x"))) {
-      String list = SingleEndpoint.list(upstream.address());
-      String text =
+      String list = SingleEndpoint.endpointListJson(upstream.address());
+      String configText =
           ProxyFixture.configText(SingleEndpoint.NO_DISCOVERY, list, "on_request", 200, 1024, "")
               .replace("\"max-attempts\"", "\"conn-idle-ns\":40000000,\"max-attempts\"");
-      BalancerConfig config = BalancerConfig.parse(text, Map.of());
+      BalancerConfig config = BalancerConfig.parse(configText, Map.of());
       try (ProxyFixture proxy = new ProxyFixture(config, engine);
           Client client = proxy.client()) {
         for (int i = 0; i < 10; i++) {
@@ -77,8 +77,8 @@
   /** Most requests succeed with an upstream that closes every connection at its second request. */
   @Test
   void stopsReusingConnectionsThatBreakOnReuse() throws Exception {
-    int requests = 400;
-    int broken = 0;
+    int requestCount = 400;
+    int failedCount = 0;
     try (FakeServer upstream =
             new FakeServer(
                 connection -> {
@@ -88,11 +88,11 @@
                 });
         ProxyFixture proxy = new ProxyFixture(SingleEndpoint.config(upstream.address()), engine);
         Client client = proxy.client()) {
-      for (int i = 0; i < requests; i++) {
+      for (int i = 0; i < requestCount; i++) {
         String response = client.exchange(ProxyFixture.get("t" + i, ""));
-        broken += response.startsWith("HTTP/1.1 200 ") ? 0 : 1;
+        failedCount += response.startsWith("HTTP/1.1 200 ") ? 0 : 1;
       }
     }
-    assertTrue(broken < requests / 10, broken + " of " + requests + " broke");
+    assertTrue(failedCount < requestCount / 10, failedCount + " of " + requestCount + " broke");
   }
 }
--- a/src/test/java/loadbalancer/upstream/HealthCheckTest.java
+++ b/src/test/java/loadbalancer/upstream/HealthCheckTest.java
@@ -27,11 +27,11 @@
     long endpoint = DiscoveryMessages.endpointId("s-1");
     ScriptedEngine engine =
         new ScriptedEngine(
-            (event, out) -> {
+            (event, actions) -> {
               if (event instanceof RequestArrived request) {
-                out.accept(new CheckHealth(endpoint));
-                out.accept(new CloseIdleConnections(endpoint));
-                out.accept(new FailRequest(request.requestId()));
+                actions.accept(new CheckHealth(endpoint));
+                actions.accept(new CloseIdleConnections(endpoint));
+                actions.accept(new FailRequest(request.requestId()));
               }
             });
     try (FakeServer upstream = FakeServer.respondingWith(FakeServer.ok("x"));
--- a/src/test/java/loadbalancer/upstream/ResponseParsingTest.java
+++ b/src/test/java/loadbalancer/upstream/ResponseParsingTest.java
@@ -59,11 +59,11 @@
       AttemptEnded ended = engine.awaitEvent(AttemptEnded.class);
       assertEquals(status, ended.status());
       assertEquals(status == AttemptStatus.SUCCESS, ended.isRequestAnswered());
-      boolean expected =
+      boolean isExpectedResponse =
           status == AttemptStatus.SUCCESS
               ? received.startsWith("HTTP/1.1 200 ") && received.endsWith("\r\n\r\nok")
               : received.startsWith("HTTP/1.1 502 ");
-      assertTrue(expected, received);
+      assertTrue(isExpectedResponse, received);
     }
   }
 
--- a/src/test/java/loadbalancer/upstream/SecondResponseTest.java
+++ b/src/test/java/loadbalancer/upstream/SecondResponseTest.java
@@ -33,7 +33,7 @@
   @CsvSource(
       delimiter = '|',
       value = {"true", "false"})
-  void closesConnectionOnBytesBehindResponse(boolean inOneWrite) throws Exception {
+  void closesConnectionOnBytesAfterResponse(boolean isSingleWrite) throws Exception {
     String surplus = FakeServer.ok("surplus");
     try (FakeServer upstream =
             new FakeServer(
@@ -41,8 +41,8 @@
                   String request = connection.readRequest();
                   boolean isFirst = request.contains("X-Trace-Id: t1");
                   String response = FakeServer.ok(isFirst ? "first" : "second");
-                  connection.write(inOneWrite ? response + surplus : response);
-                  if (!inOneWrite) {
+                  connection.write(isSingleWrite ? response + surplus : response);
+                  if (!isSingleWrite) {
                     connection.write(surplus);
                   }
                   connection.readRequest();
@@ -63,17 +63,17 @@
   @Test
   void extendsQuietPeriodAfterLateSecondResponse() throws Exception {
     long delayMillis = 45;
-    AtomicInteger connections = new AtomicInteger();
+    AtomicInteger connectionCount = new AtomicInteger();
     try (FakeServer upstream =
             new FakeServer(
                 connection -> {
-                  int number = connections.incrementAndGet();
+                  int connectionNumber = connectionCount.incrementAndGet();
                   for (String request = connection.readRequest();
                       request != null;
                       request = connection.readRequest()) {
                     boolean isFirst = request.contains("X-Trace-Id: t1");
                     connection.write(FakeServer.ok(isFirst ? "first" : "next"));
-                    if (number == 1) {
+                    if (connectionNumber == 1) {
                       Thread.sleep(delayMillis); // Exceeds the initial quiet period.
                       connection.write(FakeServer.ok("surplus"));
                     }
@@ -86,10 +86,10 @@
       assertTrue(client.exchange(ProxyFixture.get("t2", "")).endsWith("\r\n\r\nnext"));
       Thread.sleep(15); // Longer than the initial quiet period, far shorter than the extended one.
       assertTrue(client.exchange(ProxyFixture.get("t3", "")).endsWith("\r\n\r\nnext"));
-      assertEquals(3, connections.get(), "the second connection is still in its quiet period");
+      assertEquals(3, connectionCount.get(), "the second connection is still in its quiet period");
       Thread.sleep(4 * delayMillis);
       assertTrue(client.exchange(ProxyFixture.get("t4", "")).endsWith("\r\n\r\nnext"));
-      assertEquals(3, connections.get(), "reused after its quiet period");
+      assertEquals(3, connectionCount.get(), "reused after its quiet period");
     }
   }
 
--- a/src/test/java/loadbalancer/upstream/SingleEndpoint.java
+++ b/src/test/java/loadbalancer/upstream/SingleEndpoint.java
@@ -21,7 +21,7 @@
   }
 
   static BalancerConfig config(String discovery, String upstream) throws IOException {
-    return ProxyFixture.config(discovery, list(upstream));
+    return ProxyFixture.config(discovery, endpointListJson(upstream));
   }
 
   /** Returns a configuration with a connect timeout that no test reaches. */
@@ -29,10 +29,10 @@
       throws IOException {
     int connectTimeoutMillis = 1000 * ProxyFixture.TIMEOUT_SECONDS;
     return ProxyFixture.config(
-        discovery, list(upstream), "on_request", connectTimeoutMillis, 1024, "");
+        discovery, endpointListJson(upstream), "on_request", connectTimeoutMillis, 1024, "");
   }
 
-  static String list(String upstream) {
+  static String endpointListJson(String upstream) {
     return ProxyFixture.endpointListJson(
         1, true, ProxyFixture.endpointJson("s-1", upstream, "ready"));
   }
--- a/src/test/java/loadbalancer/upstream/WithdrawnAttemptTest.java
+++ b/src/test/java/loadbalancer/upstream/WithdrawnAttemptTest.java
@@ -45,38 +45,38 @@
   /** Returns an engine that starts an attempt per request and cancels it on client disconnect. */
   private static ScriptedEngine cancellingEngine() {
     return new ScriptedEngine(
-        (event, out) -> {
+        (event, actions) -> {
           if (event instanceof RequestArrived request) {
-            out.accept(new StartAttempt(request.requestId(), ENDPOINT, 0));
+            actions.accept(new StartAttempt(request.requestId(), ENDPOINT, 0));
           } else if (event instanceof ClientDisconnected disconnected) {
-            out.accept(new CancelAttempt(disconnected.requestId(), 0));
+            actions.accept(new CancelAttempt(disconnected.requestId(), 0));
           }
         });
   }
 
   @Test
   void doesNotWriteConnectingAttemptOnceEndpointDrains() throws Exception {
-    CountDownLatch drain = new CountDownLatch(1);
+    CountDownLatch drainAllowed = new CountDownLatch(1);
     try (UnresponsiveUpstream upstream = new UnresponsiveUpstream();
         FakeServer discovery =
             new FakeServer(
                 connection -> {
                   connection.readRequest();
-                  drain.await();
+                  drainAllowed.await();
                   connection.write(
                       DiscoveryMessages.watchResponse(drainingList(upstream.address())));
                   connection.readRequest();
                 })) {
       ScriptedEngine engine =
           new ScriptedEngine(
-              (event, out) -> {
+              (event, actions) -> {
                 if (event instanceof EndpointListUpdate update
                     && update.kind() == UpdateKind.CACHED) {
-                  out.accept(new WatchEndpoints(true));
+                  actions.accept(new WatchEndpoints(true));
                 } else if (event instanceof RequestArrived request) {
-                  out.accept(new StartAttempt(request.requestId(), ENDPOINT, 0));
+                  actions.accept(new StartAttempt(request.requestId(), ENDPOINT, 0));
                 } else if (event instanceof AttemptEnded ended) {
-                  out.accept(new FailRequest(ended.requestId()));
+                  actions.accept(new FailRequest(ended.requestId()));
                 }
               });
       BalancerConfig config =
@@ -85,7 +85,7 @@
           Client client = proxy.client()) {
         client.write(ProxyFixture.get("t", ""));
         engine.awaitEvent(RequestArrived.class);
-        drain.countDown();
+        drainAllowed.countDown();
         assertEquals(AttemptStatus.NOT_SENT, engine.awaitEvent(AttemptEnded.class).status());
       }
     }
@@ -116,39 +116,39 @@
    */
   @Test
   void doesNotWriteRetryWhoseConnectionIsEstablishedAfterDedupWindow() throws Exception {
-    try (FakeServer breaking = new FakeServer(FakeServer.Connection::readRequest);
-        UnresponsiveUpstream late = new UnresponsiveUpstream()) {
+    try (FakeServer breakingUpstream = new FakeServer(FakeServer.Connection::readRequest);
+        UnresponsiveUpstream lateUpstream = new UnresponsiveUpstream()) {
       ScriptedEngine engine =
           new ScriptedEngine(
-              (event, out) -> {
+              (event, actions) -> {
                 if (event instanceof RequestArrived request) {
-                  out.accept(new StartAttempt(request.requestId(), ENDPOINT, 0));
+                  actions.accept(new StartAttempt(request.requestId(), ENDPOINT, 0));
                 } else if (event instanceof AttemptEnded ended && ended.attempt() == 0) {
-                  long other = DiscoveryMessages.endpointId("s-2");
-                  out.accept(new StartAttempt(ended.requestId(), other, 0));
+                  long otherEndpoint = DiscoveryMessages.endpointId("s-2");
+                  actions.accept(new StartAttempt(ended.requestId(), otherEndpoint, 0));
                 } else if (event instanceof AttemptEnded ended) {
-                  out.accept(new FailRequest(ended.requestId()));
+                  actions.accept(new FailRequest(ended.requestId()));
                 }
               });
       String list =
           ProxyFixture.endpointListJson(
               1,
               true,
-              ProxyFixture.endpointJson("s-1", breaking.address(), "ready"),
-              ProxyFixture.endpointJson("s-2", late.address(), "ready"));
+              ProxyFixture.endpointJson("s-1", breakingUpstream.address(), "ready"),
+              ProxyFixture.endpointJson("s-2", lateUpstream.address(), "ready"));
       int connectTimeoutMillis = 1000 * ProxyFixture.TIMEOUT_SECONDS;
-      String text =
+      String configText =
           ProxyFixture.configText(
               SingleEndpoint.NO_DISCOVERY, list, "on_request", connectTimeoutMillis, 1024, "");
       BalancerConfig config =
           BalancerConfig.parse(
-              text.replace("\"window-ns\":2000000000", "\"window-ns\":300000000"), Map.of());
+              configText.replace("\"window-ns\":2000000000", "\"window-ns\":300000000"), Map.of());
       try (ProxyFixture proxy = new ProxyFixture(config, engine);
           Client client = proxy.client()) {
         client.write(ProxyFixture.post("t", "Idempotency-Key: k\r\n", "body"));
         assertEquals(AttemptStatus.RESET, engine.awaitEvent(AttemptEnded.class).status());
         Thread.sleep(400); // The window ends before the connection can be established.
-        try (Socket connection = late.accept()) {
+        try (Socket connection = lateUpstream.accept()) {
           assertEquals(-1, connection.getInputStream().read(), "nothing was written");
         }
         assertEquals(AttemptStatus.NOT_SENT, engine.awaitEvent(AttemptEnded.class).status());
@@ -172,18 +172,18 @@
                       DiscoveryMessages.watchResponse(drainingList(upstream.address())));
                   connection.awaitClose();
                 })) {
-      List<String> queued = new ArrayList<>();
+      List<String> requestIds = new ArrayList<>();
       ScriptedEngine engine =
           new ScriptedEngine(
-              (event, out) -> {
+              (event, actions) -> {
                 if (event instanceof RequestArrived request) {
-                  queued.add(request.requestId());
-                  out.accept(new WatchEndpoints(true));
+                  requestIds.add(request.requestId());
+                  actions.accept(new WatchEndpoints(true));
                 } else if (event instanceof EndpointListUpdate update
                     && update.kind() == UpdateKind.DELTA) {
-                  out.accept(new StartAttempt(queued.get(0), ENDPOINT, 0));
+                  actions.accept(new StartAttempt(requestIds.get(0), ENDPOINT, 0));
                 } else if (event instanceof AttemptEnded ended) {
-                  out.accept(new FailRequest(ended.requestId()));
+                  actions.accept(new FailRequest(ended.requestId()));
                 }
               });
       BalancerConfig config = SingleEndpoint.config(discovery.address(), upstream.address());
