--- a/src/main/java/loadbalancer/discovery/DiscoveryClient.java
+++ b/src/main/java/loadbalancer/discovery/DiscoveryClient.java
@@ -34,10 +34,10 @@
   /** True while the owner wants a watch, even if none is open because the last one failed. */
   private boolean isWatchEnabled;
 
-  /** True if the last call failed. Only changes of this state are logged. */
+  /** True from a failure until a list is received. Only changes of this state are logged. */
   private boolean isFailing;
 
-  /** The number of consecutive calls that timed out before a list was received. */
+  /** The number of calls that have timed out since a list was received or the address changed. */
   private int timeoutsSinceLastList;
 
   /**
@@ -48,7 +48,8 @@
    *     is polled
    * @param firstByteTimeoutMillis the maximum time from a request to the first byte of its
    *     response, in ms
-   * @param revision supplies the revision of the last accepted list
+   * @param revision supplies the revision after which a watch requests changes; 0 requests the
+   *     complete list
    * @param updates receives every list as {@link UpdateKind#FULL} or {@link UpdateKind#DELTA}, and
    *     an empty list as {@link UpdateKind#FAILED} for every failed call
    */
--- a/src/main/java/loadbalancer/discovery/DiscoveryFailure.java
+++ b/src/main/java/loadbalancer/discovery/DiscoveryFailure.java
@@ -4,15 +4,15 @@
 enum DiscoveryFailure {
   /** The process could not open a socket. */
   NO_SOCKET("no socket"),
-  /** The connection was refused or not established in time. */
+  /** The connection could not be established, for example because it was refused. */
   CONNECT_FAILED("connect failed"),
   /** The response has a status other than 200. */
   UNEXPECTED_STATUS("unexpected status"),
-  /** The response is not HTTP. */
+  /** The response could not be decoded as HTTP. */
   MALFORMED_RESPONSE("malformed response"),
   /** A list is too long, is not valid JSON, or has missing or malformed fields. */
   MALFORMED_LIST("malformed list"),
-  /** No data was received within the time limit, or no first list. */
+  /** No first byte, first list or further data was received in time. */
   SILENT("silent"),
   /** A list was received in part and not completed in time. */
   LIST_INCOMPLETE("list incomplete"),
--- a/src/main/java/loadbalancer/discovery/DiscoveryStream.java
+++ b/src/main/java/loadbalancer/discovery/DiscoveryStream.java
@@ -232,7 +232,7 @@
     }
   }
 
-  /** The last handler, which receives single lists and the framer's exceptions. */
+  /** The last handler in the pipeline. Receives the framed lists and the framer's exceptions. */
   private final class ListReceiver extends SimpleChannelInboundHandler<ByteBuf> {
     @Override
     protected void channelRead0(ChannelHandlerContext context, ByteBuf text) {
--- a/src/main/java/loadbalancer/discovery/DiscoveryTimeouts.java
+++ b/src/main/java/loadbalancer/discovery/DiscoveryTimeouts.java
@@ -11,15 +11,15 @@
   static final long UPDATE_DEADLINE_MILLIS = 6000;
 
   /**
-   * The time without any received data after which a call has failed. Discovery writes a line every
-   * 2 s. The limit is far below the deadline for updates because a watch whose connection is dead
-   * may be replaced by another one on a dead connection.
+   * The time without received data after which a call fails once it has its first list. Discovery
+   * writes a line every 2 s. The limit is far below the deadline for updates because the watch that
+   * replaces a failed one may have a dead connection as well.
    */
   static final long SILENCE_TIMEOUT_MILLIS = 2800;
 
   /**
    * The time for the first list of a watch where the list is pushed. The agent on this machine
-   * responds immediately, so a watch without a list by then has never worked.
+   * responds immediately, so a watch that has no list by then counts as failed.
    */
   public static final long AGENT_FIRST_LIST_TIMEOUT_MILLIS = 750;
 
@@ -31,9 +31,9 @@
   private static final double AGENT_FIRST_BYTE_FRACTION = 0.4;
 
   /**
-   * The time for the first list of a call where the list is polled, if the previous call did not
-   * time out. The discovery service queues calls, so the time doubles with every consecutive
-   * timeout: with a constant timeout no call would get through a long queue.
+   * The time for the first list of a call where the list is polled, if no call has timed out since
+   * the last list. The discovery service queues calls, so the time doubles with every timeout: with
+   * a constant timeout no call would get through a long queue.
    */
   static final long POLL_FIRST_LIST_TIMEOUT_MILLIS = 1400;
 
@@ -41,8 +41,8 @@
   private static final int MAX_DOUBLINGS = 10;
 
   /**
-   * The time after which a partly received list counts as truncated. Data that follows would be
-   * parsed as the rest of it.
+   * The time after which a partly received list counts as truncated. If the call went on, the next
+   * list would be parsed as the rest of the truncated one.
    */
   static final long LIST_COMPLETION_TIMEOUT_MILLIS = 1000;
 
@@ -68,8 +68,7 @@
    * Returns the maximum time until a call receives its first list.
    *
    * @param isPushed whether the list is pushed by an agent on this machine
-   * @param timeoutsSinceLastList the number of preceding calls in a row that timed out without a
-   *     list
+   * @param timeoutsSinceLastList the number of calls that timed out since the last list
    */
   static long firstListTimeoutMillis(boolean isPushed, int timeoutsSinceLastList) {
     if (isPushed) {
--- a/src/main/java/loadbalancer/discovery/EndpointDirectory.java
+++ b/src/main/java/loadbalancer/discovery/EndpointDirectory.java
@@ -40,9 +40,7 @@
   private final StartTimeEstimator startTimes = new StartTimeEstimator();
   private long revision;
 
-  /**
-   * The time since which discovery has sent only older revisions, if {@link #isDiscoveryBehind}.
-   */
+  /** The time at which discovery first sent an older revision, if {@link #isDiscoveryBehind}. */
   private long behindSinceNanos;
 
   private boolean isDiscoveryBehind;
@@ -73,7 +71,7 @@
 
   /**
    * Returns whether the last list from discovery was rejected as outdated. A complete list is
-   * accepted once discovery has been behind for some seconds, so it must be requested again.
+   * accepted once discovery has been behind for some seconds, so one must be requested then.
    */
   public boolean isDiscoveryBehind() {
     return isDiscoveryBehind;
@@ -108,10 +106,10 @@
   }
 
   /**
-   * Applies a complete list or a delta. An outdated one is rejected, and so is a complete list
-   * without endpoints while the directory has some.
+   * Applies a complete list or a delta unless it is outdated, or is a complete list without
+   * endpoints while the directory has some.
    *
-   * @param kind the kind of update that the list is
+   * @param kind how the list was obtained, and whether it is complete
    * @return the update for the decision engine; a delta without changes if the list was rejected
    */
   public EndpointListUpdate apply(UpdateKind kind, EndpointList list) {
@@ -172,15 +170,18 @@
     return listing;
   }
 
-  /** Returns the endpoints that the last call of {@link #apply} replaced by a new incarnation. */
+  /** Returns the ids of the endpoints that have restarted according to the last applied list. */
   public List<Long> restartedEndpoints() {
     return restartedEndpoints;
   }
 
   /**
-   * Returns whether a list may be applied. A lagging discovery sends older revisions, which would
-   * bring back endpoints that are gone. A discovery that has lost its state sends an empty list;
-   * the known endpoints remain in use then. A list without a revision is never outdated.
+   * Returns whether a list may be applied, and records whether discovery is behind.
+   *
+   * <p>A lagging discovery sends older revisions, which would bring back endpoints that are gone. A
+   * complete one is accepted once discovery has been behind for {@link #MAX_LAG_NANOS}. A list
+   * without a revision is never outdated. A discovery that has lost its state sends a complete list
+   * without endpoints, which is rejected while the directory has some.
    */
   private boolean checkAcceptable(UpdateKind kind, EndpointList list, long now) {
     boolean isOutdated = list.revision() > 0 && list.revision() < revision;
--- a/src/main/java/loadbalancer/discovery/EndpointList.java
+++ b/src/main/java/loadbalancer/discovery/EndpointList.java
@@ -5,9 +5,10 @@
 import loadbalancer.decision.api.EndpointState;
 
 /**
- * A message from discovery that holds the complete endpoint list or changes to it.
+ * The complete endpoint list or changes to it, as discovery sends it or the configuration file
+ * states it.
  *
- * @param revision the revision of the list after this message; 0 if none is stated
+ * @param revision the revision of the list, including these changes; 0 if none is stated
  * @param complete true if {@code members} are all endpoints, false if they are the changed ones
  * @param members the endpoints
  */
@@ -22,7 +23,8 @@
    * @param id the name of the endpoint, which all its incarnations share
    * @param address the address on which it listens
    * @param zone the zone in which it runs
-   * @param cell the part of the zone within which endpoints may share deduplication
+   * @param cell the subdivision of the zone in which it runs; endpoints of a cell may share
+   *     deduplication of requests
    * @param state whether it accepts new requests
    * @param weight its weight relative to the other endpoints
    * @param upSinceMillis the Unix time at which this incarnation started, in ms; 0 for a start long
--- a/src/main/java/loadbalancer/discovery/EndpointListParser.java
+++ b/src/main/java/loadbalancer/discovery/EndpointListParser.java
@@ -21,7 +21,8 @@
   /**
    * Parses a list and skips unknown fields.
    *
-   * @throws loadbalancer.json.MalformedInputException if a field is missing or has the wrong type
+   * @throws loadbalancer.json.MalformedInputException if a required field is missing or a field has
+   *     the wrong type or an invalid value
    */
   public static EndpointList parse(JsonFields list) {
     List<EndpointList.Member> members = new ArrayList<>();
--- a/src/main/java/loadbalancer/discovery/StartTimeEstimator.java
+++ b/src/main/java/loadbalancer/discovery/StartTimeEstimator.java
@@ -15,7 +15,7 @@
  */
 final class StartTimeEstimator {
 
-  /** A lower bound of discovery's clock minus this process's clock; grows with new statements. */
+  /** A lower bound of discovery's clock minus this process's clock. Later starts may raise it. */
   private long minOffsetNanos = Long.MIN_VALUE;
 
   /**
--- a/src/main/java/loadbalancer/discovery/StreamLimits.java
+++ b/src/main/java/loadbalancer/discovery/StreamLimits.java
@@ -23,7 +23,8 @@
   private long listStartedNanos;
 
   /**
-   * Creates limits that start to run now.
+   * Creates the limits of a call that is opened now. The time for the first list runs from now on,
+   * the time for the first byte from {@link #requestSent}.
    *
    * @param firstListTimeoutMillis the maximum time until the first list, in ms
    * @param firstByteTimeoutMillis the maximum time from the request to the first byte of the
@@ -53,7 +54,7 @@
     isWithinList = isWithin;
   }
 
-  /** Records that a list is complete, so that the time for the next one starts anew. */
+  /** Records that a list is complete; the time to complete the next one starts anew. */
   void listCompleted() {
     isWithinList = false;
   }
--- a/src/main/java/loadbalancer/upstream/ConnectionPool.java
+++ b/src/main/java/loadbalancer/upstream/ConnectionPool.java
@@ -45,7 +45,7 @@
    * @param descriptors the limit on open file descriptors, with which connections are registered
    * @param connectTimeoutNanos the maximum time to establish a connection
    * @param upstreamIdleNanos the idle time after which upstreams close connections
-   * @param isReady tests whether the endpoint with an id accepts new requests
+   * @param isReady tests whether the endpoint with the given id accepts new requests
    */
   public ConnectionPool(
       Bootstrap bootstrap,
@@ -79,9 +79,8 @@
   /**
    * Starts a call.
    *
-   * @param request creates the request immediately before it is written, and is not called if
-   *     nothing is written: connecting takes time, and the remaining time that the request states
-   *     must be correct when it is sent
+   * @param request creates the request. It is called only if the request is written, and
+   *     immediately before that: the request states its remaining time, which connecting reduces
    * @param timeoutNanos the maximum time until the call completes, including the time to connect
    */
   public void start(
@@ -192,7 +191,7 @@
    * Stops sending new requests to endpoints that are draining or gone: closes their idle
    * connections and cancels the calls that are still connecting to them.
    *
-   * @param endpoints tests whether the endpoint with an id is one of them
+   * @param endpoints tests whether the endpoint with the given id is one of them
    */
   public void withdraw(LongPredicate endpoints) {
     idleConnections.closeMatching(endpoints);
@@ -208,7 +207,7 @@
     idleConnections.closeAll(endpointId);
   }
 
-  /** Closes the connection that has been idle longest. Returns false if there is none. */
+  /** Closes the connection that has been idle longest. Returns whether there was one. */
   public boolean closeLongestIdle() {
     return idleConnections.closeLongestIdle();
   }
--- a/src/main/java/loadbalancer/upstream/IdleConnections.java
+++ b/src/main/java/loadbalancer/upstream/IdleConnections.java
@@ -16,8 +16,8 @@
 final class IdleConnections {
 
   /**
-   * The idle timeout of this process as a fraction of the upstreams' idle timeout. A request that
-   * is sent while the upstream closes the connection would be reset.
+   * The idle timeout of this process as a fraction of the upstreams' idle timeout. It is below 1
+   * because a request that is sent while the upstream closes the connection is reset.
    */
   private static final double IDLE_TIMEOUT_FRACTION = 0.7;
 
@@ -133,7 +133,7 @@
     }
   }
 
-  /** Closes the connection that has been idle longest. Returns false if there is none. */
+  /** Closes the connection that has been idle longest. Returns whether there was one. */
   boolean closeLongestIdle() {
     long now = System.nanoTime();
     UpstreamConnection longestIdle = null;
--- a/src/main/java/loadbalancer/upstream/IdleReusePolicy.java
+++ b/src/main/java/loadbalancer/upstream/IdleReusePolicy.java
@@ -15,10 +15,10 @@
 
   private static final int BUCKET_COUNT = 10;
 
-  /** A bucket is rejected if more than this fraction of its reused connections broke. */
+  /** A bucket is rejected only if more than this fraction of its reused connections broke. */
   private static final double MAX_BROKEN_FRACTION = 0.25;
 
-  /** The minimum decayed count of broken connections for which a bucket is rejected. */
+  /** A bucket is rejected only if its decayed count of broken connections is at least this. */
   private static final double MIN_BROKEN_COUNT = 2.5;
 
   /**
--- a/src/main/java/loadbalancer/upstream/ResponseClassifier.java
+++ b/src/main/java/loadbalancer/upstream/ResponseClassifier.java
@@ -23,6 +23,7 @@
     return isRejection(response) ? AttemptStatus.REJECTED : AttemptStatus.ERROR;
   }
 
+  /** Returns whether the upstream states that it rejected the request without running it. */
   private static boolean isRejection(FullHttpResponse response) {
     HttpResponseStatus status = response.status();
     return (status.equals(HttpResponseStatus.SERVICE_UNAVAILABLE)
--- a/src/main/java/loadbalancer/upstream/ResponseDecoder.java
+++ b/src/main/java/loadbalancer/upstream/ResponseDecoder.java
@@ -10,15 +10,15 @@
  */
 final class ResponseDecoder extends HttpResponseDecoder {
 
-  /** True from the decoding of a status line until the end of that response is reported. */
+  /** True from the decoding of a status line until {@link #responseEnded} is called. */
   private boolean hasResponseStarted;
 
-  /** Returns whether a response has been received in part, or not yet been reported as ended. */
+  /** Returns whether any bytes of a response have arrived since {@link #responseEnded}. */
   boolean hasPartialResponse() {
     return hasResponseStarted || actualReadableBytes() > 0;
   }
 
-  /** Records that the current response has been passed on completely. */
+  /** Records that the current response has been passed on completely or is abandoned. */
   void responseEnded() {
     hasResponseStarted = false;
   }
--- a/src/main/java/loadbalancer/upstream/ResponseStartCheck.java
+++ b/src/main/java/loadbalancer/upstream/ResponseStartCheck.java
@@ -42,7 +42,7 @@
     return matchedBytes > 0;
   }
 
-  /** Prepares for the next response. */
+  /** Ends the current response, if any, and cancels its timeout. */
   void reset() {
     matchedBytes = 0;
     decoder.responseEnded();
--- a/src/main/java/loadbalancer/upstream/SecondResponseGuard.java
+++ b/src/main/java/loadbalancer/upstream/SecondResponseGuard.java
@@ -15,7 +15,7 @@
   /** The maximum quiet period. Bytes that arrive later do not count as a second response. */
   private static final long MAX_QUIET_PERIOD_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
-  /** The ratio of the quiet period to the longest observed delay; the next one may be longer. */
+  /** The ratio of the quiet period to the longest observed delay; above 1, as delays vary. */
   private static final int QUIET_PERIOD_PER_DELAY = 2;
 
   private long quietPeriodNanos = INITIAL_QUIET_PERIOD_NANOS;
--- a/src/main/java/loadbalancer/upstream/package-info.java
+++ b/src/main/java/loadbalancer/upstream/package-info.java
@@ -9,12 +9,13 @@
  *       imposes a quiet period after each response.
  *   <li>{@code UpstreamConnection} owns one connection and the call on it.
  *   <li>{@code ResponseStartCheck}, {@code ResponseDecoder}, {@code ResponseFramingCheck} and
- *       {@code ResponseAggregator} are its response pipeline, and {@code ResponseClassifier} maps
- *       the response to an attempt status.
+ *       {@code ResponseAggregator} handle a response before {@code UpstreamConnection}, and {@code
+ *       ResponseClassifier} maps it to an attempt status.
+ *   <li>{@link loadbalancer.upstream.LoadReport} holds the load metrics in a response header.
  *   <li>{@link loadbalancer.upstream.UpstreamCall} is one request, which completes exactly once.
  * </ul>
  *
- * <p>All classes are confined to the event loop. Requests are never retried here; only connecting
- * is, after a failure on this machine.
+ * <p>All stateful classes are confined to the event loop. Requests are never retried here; only
+ * connecting is, after a failure on this machine.
  */
 package loadbalancer.upstream;
--- a/src/test/java/loadbalancer/discovery/DiscoveryFailureTest.java
+++ b/src/test/java/loadbalancer/discovery/DiscoveryFailureTest.java
@@ -24,6 +24,7 @@
 @SuppressWarnings("try") // The proxy runs while the test reads the events of its engine.
 class DiscoveryFailureTest {
 
+  /** In the responses, {@code ~} stands for a line break. */
   @ParameterizedTest
   @CsvSource(
       delimiter = '|',
--- a/src/test/java/loadbalancer/discovery/DiscoveryRecoveryTest.java
+++ b/src/test/java/loadbalancer/discovery/DiscoveryRecoveryTest.java
@@ -122,7 +122,7 @@
     }
   }
 
-  /** Several consecutive calls fail; an update is available as soon as the last one has started. */
+  /** Four calls fail. An update is available from the start of the last failing call on. */
   @ParameterizedTest
   @CsvSource({"pushed", "on_request"})
   void updateArrivesInTimeAfterFailuresOfAnyKind(String mode) throws Exception {
--- a/src/test/java/loadbalancer/discovery/DiscoveryTimeoutsTest.java
+++ b/src/test/java/loadbalancer/discovery/DiscoveryTimeoutsTest.java
@@ -51,8 +51,9 @@
   }
 
   /**
-   * The agent learns of a drain just when it leaves a call unanswered. The retry must be sent early
-   * enough to connect and be answered within the grace period of the drain.
+   * The agent leaves a call of this process unanswered and learns of a drain at the same time,
+   * which starts the grace period of the drain. The retry of the call must be sent early enough to
+   * connect and be answered within that period.
    */
   @ParameterizedTest
   @ValueSource(longs = {300, 500, 2000})
--- a/src/test/java/loadbalancer/discovery/EndpointDirectoryTest.java
+++ b/src/test/java/loadbalancer/discovery/EndpointDirectoryTest.java
@@ -66,7 +66,10 @@
     return directory.apply(kind, new EndpointList(revision, true, List.of(members))).endpoints();
   }
 
-  /** The endpoint with the latest start may have just started; the others are older accordingly. */
+  /**
+   * The endpoint with the latest stated start may have just started. The others started earlier by
+   * the differences between the stated starts.
+   */
   @Test
   void startTimesKeepTheirDifferencesAndStartLongAgoIsZero() {
     long beforeNanos = clock.nowNanos();
@@ -96,7 +99,7 @@
         "difference between the stated starts");
   }
 
-  /** Holds for any stated start, because the clock of the stating machine may be behind. */
+  /** This holds for any stated start: the clock of the machine that states it may be behind. */
   @Test
   void startSeenOnWatchIsNotBeforePreviousUpdate() {
     applyComplete(UpdateKind.FULL, 1, member("a", 1, 9_000_000), member("b", 2, 0));
--- a/src/test/java/loadbalancer/upstream/ConnectionReuseTest.java
+++ b/src/test/java/loadbalancer/upstream/ConnectionReuseTest.java
@@ -74,7 +74,7 @@
     }
   }
 
-  /** Most requests succeed with an upstream that closes every connection at its second request. */
+  /** The upstream closes every connection at its second request; most requests must succeed. */
   @Test
   void stopsReusingConnectionsThatBreakOnReuse() throws Exception {
     int requestCount = 400;
@@ -93,6 +93,8 @@
         failedCount += response.startsWith("HTTP/1.1 200 ") ? 0 : 1;
       }
     }
-    assertTrue(failedCount < requestCount / 10, failedCount + " of " + requestCount + " broke");
+    assertTrue(
+        failedCount < requestCount / 10,
+        failedCount + " of " + requestCount + " did not return 200");
   }
 }
