--- a/src/main/java/loadbalancer/discovery/DiscoveryClient.java
+++ b/src/main/java/loadbalancer/discovery/DiscoveryClient.java
@@ -34,11 +34,11 @@
   /** True while the owner wants a watch, even if none is open because the last one failed. */
   private boolean isWatchEnabled;
 
-  /** True if the last call failed. Only changes of this state are logged. */
+  /** True from a failure until a list is received. Only changes of this state are logged. */
   private boolean isFailing;
 
-  /** The number of consecutive calls that timed out before a list was received. */
-  private int consecutiveTimeouts;
+  /** The number of calls that have timed out since a list was received or the address changed. */
+  private int timeoutsSinceLastList;
 
   /**
    * Creates a client that makes no call until {@link #watch} or {@link #fetch} is called.
@@ -48,7 +48,8 @@
    *     is polled
    * @param firstByteTimeoutMillis the maximum time from a request to the first byte of its
    *     response, in ms
-   * @param revision supplies the revision of the last accepted list
+   * @param revision supplies the revision after which a watch requests changes; 0 requests the
+   *     complete list
    * @param updates receives every list as {@link UpdateKind#FULL} or {@link UpdateKind#DELTA}, and
    *     an empty list as {@link UpdateKind#FAILED} for every failed call
    */
@@ -71,7 +72,7 @@
   public void changeAddress(InetSocketAddress newAddress) {
     if (!newAddress.equals(address)) {
       address = newAddress;
-      consecutiveTimeouts = 0;
+      timeoutsSinceLastList = 0;
       watch(isWatchEnabled);
     }
   }
@@ -111,7 +112,7 @@
 
   private StreamLimits limits() {
     return new StreamLimits(
-        DiscoveryTimeouts.firstListTimeoutMillis(isPushed, consecutiveTimeouts),
+        DiscoveryTimeouts.firstListTimeoutMillis(isPushed, timeoutsSinceLastList),
         firstByteTimeoutMillis);
   }
 
@@ -124,14 +125,14 @@
         LOG.info("discovery_recovered address=" + address);
         isFailing = false;
       }
-      consecutiveTimeouts = 0;
+      timeoutsSinceLastList = 0;
       updates.accept(list.complete() ? UpdateKind.FULL : UpdateKind.DELTA, list);
     }
 
     @Override
     public void failed(DiscoveryStream stream, DiscoveryFailure failure, String detail) {
       if (failure.isTimeout() && !stream.hasReceivedList()) {
-        consecutiveTimeouts++;
+        timeoutsSinceLastList++;
       }
       if (currentWatch == stream) {
         currentWatch = null;
--- a/src/test/java/loadbalancer/discovery/DiscoveryTimeoutsTest.java
+++ b/src/test/java/loadbalancer/discovery/DiscoveryTimeoutsTest.java
@@ -27,14 +27,14 @@
     // A watch falls silent just before the update. The watch that replaces it receives no list, and
     // where lists are pushed neither does the one after that.
     long silentMillis = DiscoveryTimeouts.SILENCE_TIMEOUT_MILLIS + checkMillis;
-    int deadWatches = isPushed ? 2 : 1;
-    for (int failures = 0; failures < deadWatches; failures++) {
+    int watchesWithoutList = isPushed ? 2 : 1;
+    for (int failures = 0; failures < watchesWithoutList; failures++) {
       silentMillis +=
           backoffMillis(isPushed, failures)
               + DiscoveryTimeouts.firstListTimeoutMillis(isPushed, failures)
               + checkMillis;
     }
-    silentMillis += backoffMillis(isPushed, deadWatches);
+    silentMillis += backoffMillis(isPushed, watchesWithoutList);
     assertWithinDeadline("silent watches", silentMillis + marginMillis);
     // Two consecutive lists are truncated.
     long truncatedMillis =
@@ -51,8 +51,9 @@
   }
 
   /**
-   * The agent learns of a drain just when it leaves a call unanswered. The retry must be sent early
-   * enough to connect and be answered within the grace period of the drain.
+   * The agent leaves a call of this process unanswered and learns of a drain at the same time,
+   * which starts the grace period of the drain. The retry of the call must be sent early enough to
+   * connect and be answered within that period.
    */
   @ParameterizedTest
   @ValueSource(longs = {300, 500, 2000})
