--- a/deploy/run.sh
+++ b/deploy/run.sh
@@ -1,27 +1,29 @@
-# One real balancer in limits.memory_mb, read by `run` in balancer.toml into its own shell. The shell becomes the virtual machine:
-# it may start no other program and must not fork, so the figure is found with what the shell has built in.
-memory=
+# Starts the load balancer within the memory limit of its configuration, limits.memory_mb. Sourced by `run` in balancer.toml. The
+# shell replaces itself with the Java VM; it may neither fork nor start another program, so it reads the limit with builtins only.
+memory_mb=
 while read -r line || [ -n "$line" ]; do
   case $line in
     *'"memory_mb"'*)
-      memory=${line#*'"memory_mb"'}
-      memory=${memory#"${memory%%[!: ]*}"}
-      memory=${memory%%[!0-9]*}
+      memory_mb=${line#*'"memory_mb"'}
+      memory_mb=${memory_mb#"${memory_mb%%[!: ]*}"}
+      memory_mb=${memory_mb%%[!0-9]*}
       break ;;
   esac
 done < "${ROUTER_CONFIG:-/dev/null}"
-# Missing, not a positive whole number, or more than any machine has: what the program takes for such a limit as well.
-case $memory in ''|0*|???????*) memory=192 ;; esac
+# A limit that is missing, not a positive integer, or larger than the memory of any machine is replaced by 192 MB, the program's
+# default for a missing limit.
+case $memory_mb in ''|0*|???????*) memory_mb=192 ;; esac
 
-# Beside heap and buffers the VM with its archives, code and stacks takes some 60 MB: half of what is left is heap (12 MB at
-# least), touched at the start so that memory does not grow later; an eighth is for buffers, taken in pieces of half a megabyte
-# (8 KiB by 2 to the 6th): in the pieces of 4 MB that are usual not one fits into the smallest share.
-heap=$(( (memory - 64) / 2 ))
-heap=$(( heap < 12 ? 12 : heap > 64 ? 64 : heap ))
-buffers=$(( memory < 32 ? 4 : memory / 8 ))
+# Besides heap and direct buffers, the VM uses about 60 MB for its class archives, compiled code and stacks. Half of the rest is
+# heap, 12 to 64 MB; all heap pages are touched at startup so that memory use does not grow later. An eighth of the limit, 4 MB at
+# least, is for direct buffers, which Netty allocates in chunks of 512 KiB (8 KiB * 2^6): not even one chunk of the usual 4 MB fits
+# into the smallest share.
+heap_mb=$(( (memory_mb - 64) / 2 ))
+heap_mb=$(( heap_mb < 12 ? 12 : heap_mb > 64 ? 64 : heap_mb ))
+direct_mb=$(( memory_mb < 32 ? 4 : memory_mb / 8 ))
 
 exec java -XX:SharedArchiveFile=target/load-balancer.jsa -XX:+UseSerialGC -XX:TieredStopAtLevel=1 \
-  -XX:CompileThresholdScaling=0.5 -Xms${heap}m -Xmx${heap}m -XX:+AlwaysPreTouch -XX:MaxDirectMemorySize=${buffers}m \
+  -XX:CompileThresholdScaling=0.5 -Xms${heap_mb}m -Xmx${heap_mb}m -XX:+AlwaysPreTouch -XX:MaxDirectMemorySize=${direct_mb}m \
   -XX:MaxMetaspaceSize=32m -XX:ReservedCodeCacheSize=16m -Xss512k -XX:-UsePerfData -Dio.netty.jfr.enabled=false \
   -Dio.netty.leakDetection.level=disabled -Dio.netty.allocator.type=pooled -Dio.netty.allocator.numHeapArenas=1 \
   -Dio.netty.allocator.numDirectArenas=1 -Dio.netty.allocator.maxOrder=6 -XX:+ExitOnOutOfMemoryError -jar target/load-balancer.jar serve
