--- a/src/main/java/loadbalancer/downstream/AcceptRetryHandler.java
+++ b/src/main/java/loadbalancer/downstream/AcceptRetryHandler.java
@@ -25,11 +25,11 @@
   /** Number of failures since a connection was last accepted. */
   private int consecutiveFailures;
 
-  private long failures;
+  private long failureCount;
 
   /** Returns the number of accept calls that have failed. */
-  long failures() {
-    return failures;
+  long failureCount() {
+    return failureCount;
   }
 
   @Override
@@ -43,7 +43,7 @@
 
   @Override
   public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-    failures++;
+    failureCount++;
     if (consecutiveFailures++ == 0) {
       LOG.warning("accept_failed reason=" + LogValues.quote(cause.toString()));
     }
--- a/src/main/java/loadbalancer/downstream/ClientConnection.java
+++ b/src/main/java/loadbalancer/downstream/ClientConnection.java
@@ -282,13 +282,15 @@
   public void respond(
       HttpResponseStatus status, long retryAfterNanos, CharSequence contentType, ByteBuf content) {
     currentRequest = null;
-    if (listenerState.isClosing() && !input.isDecoding()) {
+    if (listenerState.isClosingConnections() && !input.isDecoding()) {
       // Requests that have arrived would be lost if the proxy closed the connection now.
       readPending();
     }
     // Pipelined requests have been received, so they get responses before the connection is closed.
     boolean keepOpen =
-        keepAlive && (!pipelined.isEmpty() || (!input.isDiscarded() && !listenerState.isClosing()));
+        keepAlive
+            && (!pipelined.isEmpty()
+                || (!input.isDiscarded() && !listenerState.isClosingConnections()));
     channel
         .writeAndFlush(
             ResponseFactory.create(status, retryAfterNanos, contentType, content, keepOpen))
@@ -328,7 +330,7 @@
     } else if (halfClosed) {
       // The client half-closed while this response was being written; no request can follow.
       close();
-    } else if (listenerState.isClosing() && !input.hasPartialRequest()) {
+    } else if (listenerState.isClosingConnections() && !input.hasPartialRequest()) {
       // This response was still being written when idle connections were closed.
       closeOutputAndLinger();
     } else if (channel.isActive()) {
--- a/src/main/java/loadbalancer/downstream/ClientInput.java
+++ b/src/main/java/loadbalancer/downstream/ClientInput.java
@@ -89,12 +89,12 @@
    * request.
    */
   void readPending() {
-    long start = bytesRead;
-    long before;
+    long bytesReadAtStart = bytesRead;
+    long bytesReadBefore;
     do {
-      before = bytesRead;
+      bytesReadBefore = bytesRead;
       PendingReads.readNow(channel);
-    } while (bytesRead > before && bytesRead - start < MAX_PENDING_BYTES);
+    } while (bytesRead > bytesReadBefore && bytesRead - bytesReadAtStart < MAX_PENDING_BYTES);
   }
 
   /**
--- a/src/main/java/loadbalancer/downstream/DownstreamListener.java
+++ b/src/main/java/loadbalancer/downstream/DownstreamListener.java
@@ -131,13 +131,13 @@
    * that more may be queued.
    */
   private boolean acceptPending() {
-    long failuresBefore = acceptRetry.failures();
+    long failuresBefore = acceptRetry.failureCount();
     long acceptedBefore;
     do {
       acceptedBefore = acceptedConnections;
       PendingReads.readNow(serverChannel);
     } while (acceptedConnections > acceptedBefore);
-    return acceptRetry.failures() == failuresBefore;
+    return acceptRetry.failureCount() == failuresBefore;
   }
 
   /** Returns whether the listener still accepts connections. */
@@ -147,7 +147,7 @@
 
   /** Closes idle connections. From now on every connection is closed after its last response. */
   public void closeIdleConnections() {
-    state.startClosing();
+    state.startClosingConnections();
     connections.closeIdle();
   }
 
--- a/src/main/java/loadbalancer/downstream/ListenerState.java
+++ b/src/main/java/loadbalancer/downstream/ListenerState.java
@@ -7,7 +7,7 @@
 
   private boolean ready;
   private boolean draining;
-  private boolean closing;
+  private boolean closingConnections;
 
   void markReady() {
     ready = true;
@@ -17,8 +17,8 @@
     draining = true;
   }
 
-  void startClosing() {
-    closing = true;
+  void startClosingConnections() {
+    closingConnections = true;
   }
 
   /** Returns whether the listener is ready and not draining, so that health checks may succeed. */
@@ -27,7 +27,7 @@
   }
 
   /** Returns whether a connection is closed after a response unless further requests are queued. */
-  boolean isClosing() {
-    return closing;
+  boolean isClosingConnections() {
+    return closingConnections;
   }
 }
--- a/src/main/java/loadbalancer/downstream/RequestParser.java
+++ b/src/main/java/loadbalancer/downstream/RequestParser.java
@@ -95,9 +95,9 @@
    *
    * @param arrivedAtNanos clock reading of its earliest possible arrival, from which its timeout
    *     runs
-   * @param response receives its response
+   * @param responseSink receives its response
    */
-  RoutingResult parse(FullHttpRequest request, long arrivedAtNanos, ResponseSink response) {
+  RoutingResult parse(FullHttpRequest request, long arrivedAtNanos, ResponseSink responseSink) {
     HttpHeaders headers = request.headers();
     String traceId = headers.get(HttpProtocol.TRACE_ID_HEADER, "");
     if (traceId.isEmpty() || traceId.length() > MAX_IDENTIFIER_LENGTH) {
@@ -119,7 +119,8 @@
     if (lacksIdempotencyKey(requestClass, headers)) {
       return badRequest(HttpProtocol.IDEMPOTENCY_KEY_HEADER + " is missing");
     }
-    return build(request, arrivedAtNanos, response, traceId, requestClass, tenant, timeoutMillis);
+    return build(
+        request, arrivedAtNanos, responseSink, traceId, requestClass, tenant, timeoutMillis);
   }
 
   /** Returns an error for an invalid tenant, and null for a valid one or none. */
@@ -148,7 +149,7 @@
   private DownstreamRequest build(
       FullHttpRequest request,
       long arrivedAtNanos,
-      ResponseSink response,
+      ResponseSink responseSink,
       String traceId,
       RequestClass requestClass,
       String tenant,
@@ -167,7 +168,7 @@
         arrivedAtNanos + timeoutNanos - NETWORK_ALLOWANCE_NANOS,
         clock.nowNanos() - arrivedAtNanos,
         request,
-        response);
+        responseSink);
   }
 
   /** Returns the timeout of a request, or a negative value if its header is not a number. */
--- a/src/main/java/loadbalancer/downstream/RequestRouter.java
+++ b/src/main/java/loadbalancer/downstream/RequestRouter.java
@@ -41,13 +41,13 @@
    *
    * @param arrivedAtNanos clock reading of its earliest possible arrival, since which a pipelined
    *     request has waited for its turn
-   * @param response receives the response of the handler
+   * @param responseSink receives the response of the handler
    * @param clientHalfClosed whether the client has half-closed the connection
    */
   RoutingResult route(
       FullHttpRequest request,
       long arrivedAtNanos,
-      ResponseSink response,
+      ResponseSink responseSink,
       boolean clientHalfClosed) {
     if (!request.decoderResult().isSuccess()) {
       return LocalReply.forDecodingFailure(request.decoderResult().cause());
@@ -62,7 +62,7 @@
     if (!method.equals(HttpMethod.GET) && !method.equals(HttpMethod.POST)) {
       return new LocalReply(HttpResponseStatus.METHOD_NOT_ALLOWED, "GET and POST only");
     }
-    RoutingResult parsed = parser.parse(request, arrivedAtNanos, response);
+    RoutingResult parsed = parser.parse(request, arrivedAtNanos, responseSink);
     if (parsed instanceof DownstreamRequest accepted) {
       return admit(accepted, clientHalfClosed);
     }
--- a/src/test/java/loadbalancer/ArchitectureTest.java
+++ b/src/test/java/loadbalancer/ArchitectureTest.java
@@ -32,7 +32,7 @@
 @AnalyzeClasses(packages = "loadbalancer", importOptions = ImportOption.DoNotIncludeTests.class)
 class ArchitectureTest {
 
-  private static final Path SOURCES = Path.of("src/main/java");
+  private static final Path SOURCE_ROOT = Path.of("src/main/java");
 
   /**
    * Every package directly below the root. A new one has to be listed here, so that the rules are
@@ -117,8 +117,8 @@
   final ArchRule topPackagesAreFreeOfCycles =
       slices().matching("loadbalancer.(*)..").should().beFreeOfCycles();
 
-  /** The packages that each package may use besides itself and {@link #COMMON}. */
-  private static final Map<String, Set<String>> ALLOWED =
+  /** The packages that each package may use besides itself and {@link #COMMON_DEPENDENCIES}. */
+  private static final Map<String, Set<String>> ALLOWED_DEPENDENCIES =
       Map.of(
           "config", Set.of("discovery"),
           "decision", Set.of(),
@@ -129,23 +129,25 @@
           "telemetry", Set.of(),
           "upstream", Set.of());
 
-  private static final Set<String> COMMON = Set.of("decision.api", "http", "json", "net");
+  private static final Set<String> COMMON_DEPENDENCIES =
+      Set.of("decision.api", "http", "json", "net");
 
   @ArchTest
   void packagesUseOnlyAllowedPackages(JavaClasses classes) {
-    ALLOWED.forEach(
-        (name, allowed) -> {
-          DescribedPredicate<JavaClass> allowedPackages =
+    ALLOWED_DEPENDENCIES.forEach(
+        (packageName, allowed) -> {
+          DescribedPredicate<JavaClass> residesInAllowedPackage =
               resideInAnyPackage(
-                  Stream.of(Stream.of(name), allowed.stream(), COMMON.stream())
+                  Stream.of(Stream.of(packageName), allowed.stream(), COMMON_DEPENDENCIES.stream())
                       .flatMap(packages -> packages)
                       .map(used -> "loadbalancer." + used + "..")
                       .toArray(String[]::new));
           noClasses()
               .that()
-              .resideInAPackage("loadbalancer." + name + "..")
+              .resideInAPackage("loadbalancer." + packageName + "..")
               .should()
-              .dependOnClassesThat(resideInAPackage("loadbalancer..").and(not(allowedPackages)))
+              .dependOnClassesThat(
+                  resideInAPackage("loadbalancer..").and(not(residesInAllowedPackage)))
               .check(classes);
         });
   }
@@ -207,9 +209,9 @@
 
   @ArchTest
   void everyPackageHasAPackageInfo(JavaClasses classes) {
-    for (String name :
+    for (String packageName :
         classes.stream().map(JavaClass::getPackageName).collect(Collectors.toSet())) {
-      Path file = SOURCES.resolve(name.replace('.', '/')).resolve("package-info.java");
+      Path file = SOURCE_ROOT.resolve(packageName.replace('.', '/')).resolve("package-info.java");
       assertTrue(Files.isRegularFile(file), "missing: " + file);
     }
   }
--- a/src/test/java/loadbalancer/DecisionModulesTest.java
+++ b/src/test/java/loadbalancer/DecisionModulesTest.java
@@ -20,7 +20,7 @@
  */
 class DecisionModulesTest {
 
-  private static final Path DECISIONS = Path.of("src/main/java/loadbalancer/decision");
+  private static final Path DECISION_SOURCES = Path.of("src/main/java/loadbalancer/decision");
 
   /** Most lines of a module; a longer one has more than one responsibility. */
   private static final int MAX_MODULE_LINES = 220;
@@ -40,14 +40,14 @@
     String deploy = Files.readString(Path.of("deploy/balancer.toml"));
     Matcher policy = Pattern.compile("(?m)^policy = \\[([^]]*)]").matcher(deploy);
     assertTrue(policy.find(), "no policy in the deploy file");
-    TreeSet<String> named = new TreeSet<>();
+    TreeSet<String> listedPaths = new TreeSet<>();
     Matcher path = Pattern.compile("\"([^\"]*)\"").matcher(policy.group(1));
     while (path.find()) {
-      named.add(path.group(1));
+      listedPaths.add(path.group(1));
     }
     assertEquals(
         sources().stream().map(Path::toString).collect(Collectors.toCollection(TreeSet::new)),
-        named);
+        listedPaths);
   }
 
   /**
@@ -55,7 +55,7 @@
    * is in a subpackage.
    */
   private static List<Path> sources() throws IOException {
-    try (Stream<Path> files = Files.list(DECISIONS)) {
+    try (Stream<Path> files = Files.list(DECISION_SOURCES)) {
       return files
           .filter(file -> file.toString().endsWith(".java"))
           .filter(file -> !file.endsWith("package-info.java"))
--- a/src/test/java/loadbalancer/DeploymentTest.java
+++ b/src/test/java/loadbalancer/DeploymentTest.java
@@ -39,33 +39,37 @@
         folder.resolve("java"), PosixFilePermissions.fromString("rwxr-xr-x"));
   }
 
-  private record Start(long shellPid, String stat, List<String> arguments) {}
+  private record JvmStart(long shellPid, String stat, List<String> arguments) {}
 
-  private Start run(String config) throws IOException, InterruptedException {
+  private JvmStart run(String config) throws IOException, InterruptedException {
     Files.writeString(folder.resolve("config"), config);
-    Matcher run =
+    Matcher runCommand =
         Pattern.compile("(?s)^run = (\"|''')(.*?)\\1", Pattern.MULTILINE)
             .matcher(Files.readString(Path.of("deploy/balancer.toml")));
-    assertTrue(run.find(), "the deploy file defines run");
+    assertTrue(runCommand.find(), "the deploy file defines run");
     File out = folder.resolve("out").toFile();
     File err = folder.resolve("err").toFile();
     ProcessBuilder builder =
-        new ProcessBuilder("/bin/sh", "-c", run.group(2)).redirectOutput(out).redirectError(err);
+        new ProcessBuilder("/bin/sh", "-c", runCommand.group(2))
+            .redirectOutput(out)
+            .redirectError(err);
     builder.environment().put("PATH", folder.toString());
     builder.environment().put("ROUTER_CONFIG", folder.resolve("config").toString());
     Process process = builder.start();
     assertTrue(process.waitFor(1, TimeUnit.MINUTES), "exits within the timeout");
     assertEquals("", Files.readString(err.toPath()));
     List<String> lines = Files.readAllLines(out.toPath());
-    return new Start(process.pid(), lines.get(0), lines.subList(1, lines.size()));
+    return new JvmStart(process.pid(), lines.get(0), lines.subList(1, lines.size()));
   }
 
-  private void assertSizes(int heap, int buffers, String limits)
+  private void assertSizes(int heapMegabytes, int bufferMegabytes, String limits)
       throws IOException, InterruptedException {
     List<String> arguments = run("{\"limits\":{" + limits + "},\"settings\":{}}").arguments();
     for (String expected :
         List.of(
-            "-Xms" + heap + "m", "-Xmx" + heap + "m", "-XX:MaxDirectMemorySize=" + buffers + "m")) {
+            "-Xms" + heapMegabytes + "m",
+            "-Xmx" + heapMegabytes + "m",
+            "-XX:MaxDirectMemorySize=" + bufferMegabytes + "m")) {
       assertTrue(
           arguments.contains(expected), () -> expected + " for " + limits + " in " + arguments);
     }
@@ -77,7 +81,7 @@
    */
   @Test
   void execsIntoTheVirtualMachineWithoutAnotherProcess() throws IOException, InterruptedException {
-    Start start = run(Files.readString(Path.of("deploy/example.json")));
+    JvmStart start = run(Files.readString(Path.of("deploy/example.json")));
     assertEquals(
         start.shellPid(), Long.parseLong(start.stat().split(" ", 0)[0]), "the same process");
     String[] statFields = start.stat().substring(start.stat().lastIndexOf(')') + 2).split(" ", 0);
--- a/src/test/java/loadbalancer/PackagedJarIT.java
+++ b/src/test/java/loadbalancer/PackagedJarIT.java
@@ -50,7 +50,7 @@
     return folder.resolve(name).toFile();
   }
 
-  private String text(String name) throws IOException {
+  private String readFile(String name) throws IOException {
     return Files.readString(folder.resolve(name), StandardCharsets.UTF_8);
   }
 
@@ -68,9 +68,9 @@
         {"clock-ns":2000,"groups":[{"balancer":0,"msgs":[{"JobIn":{"rid":"a","service":"c",\
         "drop-dead-ns":900000000}}]}]}
         """;
-    assertEquals(0, run(start + job, "drill"), text("err"));
-    assertTrue(text("out").contains("{\"Deliver\":{\"rid\":\"a\","), text("out"));
-    assertEquals("", text("err"));
+    assertEquals(0, run(start + job, "drill"), readFile("err"));
+    assertTrue(readFile("out").contains("{\"Deliver\":{\"rid\":\"a\","), readFile("out"));
+    assertEquals("", readFile("err"));
   }
 
   private Process serve(String config) throws IOException {
@@ -97,11 +97,11 @@
     Process process = serve(Files.readString(Path.of("deploy/example.json")));
     try {
       Matcher listening =
-          Pattern.compile("listening address=/127.0.0.1:(\\d+) ").matcher(text("err"));
+          Pattern.compile("listening address=/127.0.0.1:(\\d+) ").matcher(readFile("err"));
       while (!listening.find()) {
-        assertTrue(process.isAlive(), text("err"));
+        assertTrue(process.isAlive(), readFile("err"));
         Thread.sleep(10);
-        listening = listening.reset(text("err"));
+        listening = listening.reset(readFile("err"));
       }
       try (Socket client =
           new Socket(InetAddress.getLoopbackAddress(), Integer.parseInt(listening.group(1)))) {
@@ -117,8 +117,8 @@
         assertTrue(
             process.waitFor(1, TimeUnit.MINUTES), "an idle client does not hold up the exit");
       }
-      assertEquals(0, process.exitValue(), text("err"));
-      assertTrue(text("err").contains("shutdown_complete"), text("err"));
+      assertEquals(0, process.exitValue(), readFile("err"));
+      assertTrue(readFile("err").contains("shutdown_complete"), readFile("err"));
     } finally {
       process.destroyForcibly();
     }
@@ -141,7 +141,7 @@
       awaitLine(process, "configuration_rejected reason=");
       process.destroy();
       assertTrue(process.waitFor(1, TimeUnit.MINUTES), "SIGTERM is still handled");
-      assertEquals(0, process.exitValue(), text("err"));
+      assertEquals(0, process.exitValue(), readFile("err"));
     } finally {
       process.destroyForcibly();
     }
@@ -178,8 +178,8 @@
         assertTrue(silent.isConnected());
         process.destroy();
         assertTrue(process.waitFor(1, TimeUnit.MINUTES), "exits within the timeout");
-        assertEquals(0, process.exitValue(), text("err"));
-        assertFalse(text("err").contains("listening address="), text("err"));
+        assertEquals(0, process.exitValue(), readFile("err"));
+        assertFalse(readFile("err").contains("listening address="), readFile("err"));
       } finally {
         process.destroyForcibly();
       }
@@ -197,12 +197,12 @@
       process.destroy();
       sendSighup(process);
       assertTrue(process.waitFor(1, TimeUnit.MINUTES), "exits within the timeout");
-      assertEquals(0, process.exitValue(), text("err"));
+      assertEquals(0, process.exitValue(), readFile("err"));
       assertEquals(
           1,
-          text("err").lines().filter(line -> line.endsWith("shutdown_complete")).count(),
-          text("err"));
-      assertFalse(text("err").contains("Exception"), text("err"));
+          readFile("err").lines().filter(line -> line.endsWith("shutdown_complete")).count(),
+          readFile("err"));
+      assertFalse(readFile("err").contains("Exception"), readFile("err"));
     } finally {
       process.destroyForcibly();
     }
@@ -216,8 +216,8 @@
   private void awaitLine(Process process, String expected)
       throws IOException, InterruptedException {
     long deadlineNanos = System.nanoTime() + TimeUnit.MINUTES.toNanos(1);
-    while (!text("err").contains(expected)) {
-      assertTrue(process.isAlive(), text("err"));
+    while (!readFile("err").contains(expected)) {
+      assertTrue(process.isAlive(), readFile("err"));
       assertTrue(System.nanoTime() < deadlineNanos, () -> "no line with " + expected);
       Thread.sleep(10);
     }
@@ -237,16 +237,16 @@
       Process process = serve(config);
       assertTrue(process.waitFor(1, TimeUnit.MINUTES), "exits within the timeout");
       assertEquals(1, process.exitValue());
-      assertEquals(1, text("err").lines().count(), text("err"));
-      assertTrue(text("err").startsWith("start_failed reason=\""), text("err"));
+      assertEquals(1, readFile("err").lines().count(), readFile("err"));
+      assertTrue(readFile("err").startsWith("start_failed reason=\""), readFile("err"));
     }
   }
 
   @Test
   void exitsAsDocumentedForMalformedInputAndWrongUsage() throws IOException, InterruptedException {
     assertEquals(1, run("{\n", "drill"));
-    assertEquals(1, text("err").lines().count(), text("err"));
+    assertEquals(1, readFile("err").lines().count(), readFile("err"));
     assertEquals(2, run("", "proxy"));
-    assertTrue(text("err").startsWith("usage: "), text("err"));
+    assertTrue(readFile("err").startsWith("usage: "), readFile("err"));
   }
 }
--- a/src/test/java/loadbalancer/downstream/ClientConnectionFailureTest.java
+++ b/src/test/java/loadbalancer/downstream/ClientConnectionFailureTest.java
@@ -25,21 +25,22 @@
 
   ClientConnectionFailureTest() throws IOException {
     Settings settings =
-        ProxyFixture.config(DownstreamFixture.UNREACHABLE, ProxyFixture.endpointListJson(1, true))
+        ProxyFixture.config(
+                DownstreamFixture.UNREACHABLE_ADDRESS, ProxyFixture.endpointListJson(1, true))
             .settings();
     MonotonicClock clock = new MonotonicClock();
-    ListenerState state = new ListenerState();
+    ListenerState listenerState = new ListenerState();
     RequestRouter router =
         new RequestRouter(
             new AcceptingHandler(),
             new RequestParser(settings, clock, new EventLoopLagMonitor(channel.eventLoop(), clock)),
-            state);
+            listenerState);
     new ClientConnection(
             channel,
             new AcceptingHandler(),
             router,
             new ClientConnections(),
-            state,
+            listenerState,
             new BodyBudget(Long.MAX_VALUE))
         .addHandlers();
   }
@@ -75,7 +76,7 @@
     channel.writeInbound(Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1));
   }
 
-  private String sent() {
+  private String takeOutput() {
     StringBuilder sent = new StringBuilder();
     for (ByteBuf part = channel.readOutbound(); part != null; part = channel.readOutbound()) {
       sent.append(part.toString(StandardCharsets.ISO_8859_1));
@@ -95,13 +96,13 @@
         .get(0)
         .responseSink()
         .respond(HttpResponseStatus.OK, 0, "text/plain", Unpooled.EMPTY_BUFFER);
-    assertTrue(sent().startsWith("HTTP/1.1 200 "));
+    assertTrue(takeOutput().startsWith("HTTP/1.1 200 "));
   }
 
   @Test
   void respondsWithAnErrorToWhatHasArrivedBeforeAFailure() {
     receive("GET /api HTTP/1.1\r\nHo");
     channel.pipeline().fireExceptionCaught(new OutOfMemoryError("no buffer"));
-    assertTrue(sent().startsWith("HTTP/1.1 500 "));
+    assertTrue(takeOutput().startsWith("HTTP/1.1 500 "));
   }
 }
--- a/src/test/java/loadbalancer/downstream/ClientDisconnectTest.java
+++ b/src/test/java/loadbalancer/downstream/ClientDisconnectTest.java
@@ -68,13 +68,13 @@
   @ParameterizedTest
   @EnumSource(DisconnectKind.class)
   void doesNotSendAnAttemptDecidedWhileItsClientDisconnects(DisconnectKind kind) throws Exception {
-    AtomicReference<Client> disconnecting = new AtomicReference<>();
+    AtomicReference<Client> disconnectingClient = new AtomicReference<>();
     ScriptedEngine engine =
         new ScriptedEngine(
             (event, actions) -> {
               if (event instanceof RequestArrived request) {
-                if (disconnecting.get() != null) {
-                  kind.apply(disconnecting.getAndSet(null));
+                if (disconnectingClient.get() != null) {
+                  kind.disconnect(disconnectingClient.getAndSet(null));
                 }
                 actions.accept(startAttempt(request.requestId(), "s-1"));
               }
@@ -82,8 +82,8 @@
     try (FakeServer upstream = FakeServer.respondingWith(FakeServer.ok("x"));
         ProxyFixture proxy = new ProxyFixture(DownstreamFixture.config(upstream), engine);
         Client client = proxy.client();
-        Client other = proxy.client()) {
-      disconnecting.set(client);
+        Client otherClient = proxy.client()) {
+      disconnectingClient.set(client);
       client.write(ProxyFixture.get("leaves", ""));
       assertEquals(AttemptStatus.NOT_SENT, engine.awaitEvent(AttemptEnded.class).status());
       if (kind == DisconnectKind.HALF_CLOSE) {
@@ -92,7 +92,7 @@
             "the response says that it has not run");
         assertNull(client.readResponse());
       }
-      assertTrue(other.exchange(ProxyFixture.get("stays", "")).startsWith("HTTP/1.1 200 "));
+      assertTrue(otherClient.exchange(ProxyFixture.get("stays", "")).startsWith("HTTP/1.1 200 "));
       assertTrue(
           upstream.requests.take().contains("X-Trace-Id: stays\r\n"), "the only one that was sent");
     }
@@ -105,23 +105,24 @@
   @ParameterizedTest
   @EnumSource(DisconnectKind.class)
   void doesNotSendARetryOnceItsClientHasDisconnected(DisconnectKind kind) throws Exception {
-    AtomicReference<Client> disconnecting = new AtomicReference<>();
+    AtomicReference<Client> disconnectingClient = new AtomicReference<>();
     ScriptedEngine engine =
         new ScriptedEngine(
             (event, actions) -> {
               if (event instanceof RequestArrived request) {
                 actions.accept(startAttempt(request.requestId(), "s-1"));
               } else if (event instanceof AttemptEnded ended && ended.attempt() == 0) {
-                kind.apply(disconnecting.get());
+                kind.disconnect(disconnectingClient.get());
                 actions.accept(startAttempt(ended.requestId(), "s-2"));
               }
             });
     String rejection = "HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n";
-    try (FakeServer rejecting = FakeServer.respondingWith(rejection);
-        FakeServer second = FakeServer.respondingWith(FakeServer.ok("x"));
-        ProxyFixture proxy = new ProxyFixture(DownstreamFixture.config(rejecting, second), engine);
+    try (FakeServer rejectingUpstream = FakeServer.respondingWith(rejection);
+        FakeServer secondUpstream = FakeServer.respondingWith(FakeServer.ok("x"));
+        ProxyFixture proxy =
+            new ProxyFixture(DownstreamFixture.config(rejectingUpstream, secondUpstream), engine);
         Client client = proxy.client()) {
-      disconnecting.set(client);
+      disconnectingClient.set(client);
       client.write(ProxyFixture.get("t", ""));
       assertEquals(AttemptStatus.REJECTED, engine.awaitEvent(AttemptEnded.class).status());
       AttemptEnded retry = engine.awaitEvent(AttemptEnded.class);
@@ -132,7 +133,7 @@
             client.readResponse().startsWith("HTTP/1.1 503 "),
             "the response says that it has not run");
       }
-      assertTrue(second.connections.isEmpty(), "the second attempt was not sent");
+      assertTrue(secondUpstream.connections.isEmpty(), "the second attempt was not sent");
     }
   }
 
--- a/src/test/java/loadbalancer/downstream/ClientHalfCloseTest.java
+++ b/src/test/java/loadbalancer/downstream/ClientHalfCloseTest.java
@@ -110,7 +110,7 @@
    */
   @Test
   void doesNotSendAHedgedRequestForAHalfClosedClient() throws Exception {
-    AtomicReference<Client> halfClosing = new AtomicReference<>();
+    AtomicReference<Client> halfClosingClient = new AtomicReference<>();
     CountDownLatch signal = new CountDownLatch(1);
     ScriptedEngine engine =
         new ScriptedEngine(
@@ -118,28 +118,29 @@
               if (event instanceof RequestArrived request && request.workHintNanos() == 0) {
                 actions.accept(startAttempt(request.requestId(), "s-1"));
               } else if (event instanceof RequestArrived request) {
-                DisconnectKind.HALF_CLOSE.apply(halfClosing.get());
+                DisconnectKind.HALF_CLOSE.disconnect(halfClosingClient.get());
                 actions.accept(startAttempt("r0", "s-2"));
                 actions.accept(new RejectRequest(request.requestId(), 0));
               }
             });
-    try (FakeServer first = DownstreamFixture.respondingAfter(signal);
-        FakeServer second = FakeServer.respondingWith(FakeServer.ok("y"));
-        ProxyFixture proxy = new ProxyFixture(DownstreamFixture.config(first, second), engine);
+    try (FakeServer firstUpstream = DownstreamFixture.respondingAfter(signal);
+        FakeServer secondUpstream = FakeServer.respondingWith(FakeServer.ok("y"));
+        ProxyFixture proxy =
+            new ProxyFixture(DownstreamFixture.config(firstUpstream, secondUpstream), engine);
         Client client = proxy.client();
-        Client other = proxy.client()) {
-      halfClosing.set(client);
+        Client otherClient = proxy.client()) {
+      halfClosingClient.set(client);
       client.write(ProxyFixture.get("t", ""));
-      awaitRequest(first);
+      awaitRequest(firstUpstream);
       String trigger = ProxyFixture.get("trigger", "X-Size-Hint: 7\r\n");
-      assertTrue(other.exchange(trigger).startsWith("HTTP/1.1 429 "));
+      assertTrue(otherClient.exchange(trigger).startsWith("HTTP/1.1 429 "));
       AttemptEnded hedge = engine.awaitEvent(AttemptEnded.class);
       assertEquals(AttemptStatus.NOT_SENT, hedge.status());
       assertEquals(1, hedge.attempt());
       signal.countDown();
       assertTrue(client.readResponse().endsWith("\r\n\r\nx"), "the response to the first attempt");
       assertNull(client.readResponse());
-      assertTrue(second.requests.isEmpty(), "not sent");
+      assertTrue(secondUpstream.requests.isEmpty(), "not sent");
     }
   }
 
@@ -172,7 +173,12 @@
         ProxyFixture.endpointListJson(1, true, ProxyFixture.endpointJson("s-1", address, "ready"));
     int connectTimeoutMillis = 1000 * ProxyFixture.TIMEOUT_SECONDS;
     return ProxyFixture.config(
-        DownstreamFixture.UNREACHABLE, endpoints, "on_request", connectTimeoutMillis, 1024, "");
+        DownstreamFixture.UNREACHABLE_ADDRESS,
+        endpoints,
+        "on_request",
+        connectTimeoutMillis,
+        1024,
+        "");
   }
 
   /** The request is queued behind a slow one, and its turn comes after the half-close. */
@@ -200,12 +206,12 @@
   /** A partial request gets no response; the connection is just closed. */
   @ParameterizedTest
   @CsvSource({"''", "GET /api HT"})
-  void closesAHalfClosedConnectionWithoutACompleteRequest(String part) throws Exception {
+  void closesAHalfClosedConnectionWithoutACompleteRequest(String partialRequest) throws Exception {
     ScriptedEngine engine = new ScriptedEngine(ATTEMPT_TIMEOUT_NANOS);
     try (FakeServer upstream = FakeServer.respondingWith(FakeServer.ok("x"));
         ProxyFixture proxy = new ProxyFixture(DownstreamFixture.config(upstream), engine);
         Client client = proxy.client()) {
-      client.write(part);
+      client.write(partialRequest);
       client.socket.shutdownOutput();
       assertNull(client.readResponse());
       assertFalse(client.socket.isClosed());
--- a/src/test/java/loadbalancer/downstream/DownstreamFixture.java
+++ b/src/test/java/loadbalancer/downstream/DownstreamFixture.java
@@ -11,8 +11,8 @@
 /** Configurations, upstreams and client behavior that the tests of client connections share. */
 final class DownstreamFixture {
 
-  static final String UNREACHABLE = "127.0.0.1:1";
-  static final String HEALTH_CHECK = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
+  static final String UNREACHABLE_ADDRESS = "127.0.0.1:1";
+  static final String HEALTH_CHECK_REQUEST = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
 
   private DownstreamFixture() {}
 
@@ -21,7 +21,7 @@
     HALF_CLOSE,
     RESET;
 
-    void apply(Client client) {
+    void disconnect(Client client) {
       try {
         if (this == RESET) {
           client.socket.setSoLinger(true, 0);
@@ -37,11 +37,12 @@
 
   /** Returns a configuration with ready upstreams named {@code s-1}, {@code s-2} and so on. */
   static BalancerConfig config(FakeServer... upstreams) throws IOException {
-    String[] members = new String[upstreams.length];
+    String[] endpoints = new String[upstreams.length];
     for (int i = 0; i < upstreams.length; i++) {
-      members[i] = ProxyFixture.endpointJson("s-" + (i + 1), upstreams[i].address(), "ready");
+      endpoints[i] = ProxyFixture.endpointJson("s-" + (i + 1), upstreams[i].address(), "ready");
     }
-    return ProxyFixture.config(UNREACHABLE, ProxyFixture.endpointListJson(1, true, members));
+    return ProxyFixture.config(
+        UNREACHABLE_ADDRESS, ProxyFixture.endpointListJson(1, true, endpoints));
   }
 
   /** Returns a server that responds to every request once it is signaled. */
@@ -62,8 +63,8 @@
    */
   static void awaitInputRead(ProxyFixture proxy) throws IOException {
     for (int i = 0; i < 2; i++) {
-      try (Client other = proxy.client()) {
-        other.exchange(HEALTH_CHECK);
+      try (Client otherClient = proxy.client()) {
+        otherClient.exchange(HEALTH_CHECK_REQUEST);
       }
     }
   }
--- a/src/test/java/loadbalancer/downstream/MisbehavingClientTest.java
+++ b/src/test/java/loadbalancer/downstream/MisbehavingClientTest.java
@@ -55,17 +55,17 @@
         ProxyFixture proxy = new ProxyFixture(DownstreamFixture.config(upstream));
         Client client = proxy.client()) {
       String headers = "X-Trace-Id: bad~X-Qos: keyed~Idempotency-Key: k~";
-      String text =
+      String requests =
           malformed.trim().replaceFirst("HTTP/1.1~", "HTTP/1.1~" + headers).replace("~", "\r\n");
-      client.write(text + ProxyFixture.get("hidden", ""));
+      client.write(requests + ProxyFixture.get("hidden", ""));
       String response = client.readResponse();
       assertTrue(
           response.startsWith("HTTP/1.1 " + status + " ")
               && response.contains("connection: close\r\n"),
           response);
       assertNull(client.readResponse());
-      try (Client wellBehaved = proxy.client()) {
-        assertTrue(wellBehaved.exchange(ProxyFixture.get("good", "")).startsWith("HTTP/1.1 200 "));
+      try (Client otherClient = proxy.client()) {
+        assertTrue(otherClient.exchange(ProxyFixture.get("good", "")).startsWith("HTTP/1.1 200 "));
       }
       assertTrue(upstream.requests.take().contains("X-Trace-Id: good\r\n"));
       assertNull(upstream.requests.poll());
@@ -75,19 +75,22 @@
   @Test
   void rejectsOverlongRequestLinesAndHeaders() throws Exception {
     BalancerConfig config =
-        ProxyFixture.config(DownstreamFixture.UNREACHABLE, ProxyFixture.endpointListJson(1, true));
+        ProxyFixture.config(
+            DownstreamFixture.UNREACHABLE_ADDRESS, ProxyFixture.endpointListJson(1, true));
     try (ProxyFixture proxy = new ProxyFixture(config);
-        Client first = proxy.client();
-        Client second = proxy.client()) {
+        Client firstClient = proxy.client();
+        Client secondClient = proxy.client()) {
       String overlong = "x".repeat(10_000);
       assertTrue(
-          first.exchange("GET /api?" + overlong + " HTTP/1.1\r\n\r\n").startsWith("HTTP/1.1 414 "));
-      assertNull(first.readResponse());
+          firstClient
+              .exchange("GET /api?" + overlong + " HTTP/1.1\r\n\r\n")
+              .startsWith("HTTP/1.1 414 "));
+      assertNull(firstClient.readResponse());
       assertTrue(
-          second
+          secondClient
               .exchange(ProxyFixture.get("t", "X-Long: " + overlong + "\r\n"))
               .startsWith("HTTP/1.1 431 "));
-      assertNull(second.readResponse());
+      assertNull(secondClient.readResponse());
     }
   }
 
@@ -115,7 +118,7 @@
     try (FakeServer upstream = DownstreamFixture.respondingAfter(signal);
         ProxyFixture proxy = new ProxyFixture(DownstreamFixture.config(upstream));
         Client client = proxy.client();
-        Client other = proxy.client()) {
+        Client otherClient = proxy.client()) {
       StringBuilder requests = new StringBuilder();
       for (int i = 0; i < 500; i++) {
         requests.append(ProxyFixture.get("t" + i, ""));
@@ -123,7 +126,7 @@
       client.write(requests.toString());
       for (int i = 0; i < 200; i++) {
         // For each response the proxy polls all sockets, and could read beyond the limit.
-        other.exchange(DownstreamFixture.HEALTH_CHECK);
+        otherClient.exchange(DownstreamFixture.HEALTH_CHECK_REQUEST);
       }
       signal.countDown();
       List<String> responses = new ArrayList<>();
@@ -161,16 +164,16 @@
 
   @Test
   void rejectsAnUnknownTenantAndAnOverlongTraceId() throws Exception {
-    String text =
+    String configText =
         ProxyFixture.configText(
-            DownstreamFixture.UNREACHABLE,
+            DownstreamFixture.UNREACHABLE_ADDRESS,
             ProxyFixture.endpointListJson(1, true),
             "on_request",
             200,
             1024,
             "");
-    String withTenants = text.replace("\"settings\":{", "\"settings\":{" + TENANTS);
-    try (ProxyFixture proxy = new ProxyFixture(BalancerConfig.parse(withTenants, Map.of()));
+    String configWithTenants = configText.replace("\"settings\":{", "\"settings\":{" + TENANTS);
+    try (ProxyFixture proxy = new ProxyFixture(BalancerConfig.parse(configWithTenants, Map.of()));
         Client client = proxy.client()) {
       String unknownTenant = ProxyFixture.get("t", "X-Customer: nobody\r\n");
       assertTrue(client.exchange(unknownTenant).startsWith("HTTP/1.1 400 "));
@@ -190,12 +193,14 @@
         "GET /api HT | HTTP/1.1 408 ",
         "POST /api HTTP/1.1~X-Trace-Id: t~Content-Length: 5~~half | HTTP/1.1 408 "
       })
-  void closesConnectionsWithoutACompleteRequest(String part, String expected) throws Exception {
+  void closesConnectionsWithoutACompleteRequest(String partialRequest, String expected)
+      throws Exception {
     BalancerConfig config =
-        ProxyFixture.config(DownstreamFixture.UNREACHABLE, ProxyFixture.endpointListJson(1, true));
+        ProxyFixture.config(
+            DownstreamFixture.UNREACHABLE_ADDRESS, ProxyFixture.endpointListJson(1, true));
     try (ProxyFixture proxy = new ProxyFixture(config);
         Client client = proxy.client()) {
-      client.write(part.replace("~", "\r\n"));
+      client.write(partialRequest.replace("~", "\r\n"));
       String response = client.readResponse();
       assertTrue(expected.isEmpty() ? response == null : response.startsWith(expected), response);
       assertTrue(
@@ -208,25 +213,26 @@
   @Test
   void shedsClientsThatNeverSentARequestFirst() throws Exception {
     CountDownLatch signal = new CountDownLatch(1);
-    List<Client> silent = new ArrayList<>();
+    List<Client> silentClients = new ArrayList<>();
     try (FakeServer upstream = respondingOnce("x", signal);
         ProxyFixture proxy = new ProxyFixture(configWithSockets(upstream, 72));
-        Client served = proxy.client();
-        Client idle = proxy.client()) {
-      assertTrue(idle.exchange(DownstreamFixture.HEALTH_CHECK).startsWith("HTTP/1.1 200 "));
-      served.write(ProxyFixture.get("t", ""));
+        Client servedClient = proxy.client();
+        Client idleClient = proxy.client()) {
+      assertTrue(
+          idleClient.exchange(DownstreamFixture.HEALTH_CHECK_REQUEST).startsWith("HTTP/1.1 200 "));
+      servedClient.write(ProxyFixture.get("t", ""));
       assertNotNull(upstream.requests.poll(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS));
       for (int i = 0; i < 60; i++) {
-        silent.add(proxy.client());
+        silentClients.add(proxy.client());
       }
-      assertNull(silent.get(0).readResponse(), "the connection is closed");
+      assertNull(silentClients.get(0).readResponse(), "the connection is closed");
       assertTrue(
-          idle.exchange(DownstreamFixture.HEALTH_CHECK).startsWith("HTTP/1.1 200 "),
+          idleClient.exchange(DownstreamFixture.HEALTH_CHECK_REQUEST).startsWith("HTTP/1.1 200 "),
           "one that has sent a request stays connected");
       signal.countDown();
-      assertTrue(served.readResponse().startsWith("HTTP/1.1 200 "));
+      assertTrue(servedClient.readResponse().startsWith("HTTP/1.1 200 "));
     } finally {
-      for (Client client : silent) {
+      for (Client client : silentClients) {
         client.close();
       }
     }
@@ -235,27 +241,28 @@
   /** The client gets an error before its connection is closed. */
   @Test
   void rejectsABodyOverTheMemoryBudget() throws Exception {
-    String text =
+    String configText =
         ProxyFixture.configText(
-            DownstreamFixture.UNREACHABLE,
+            DownstreamFixture.UNREACHABLE_ADDRESS,
             ProxyFixture.endpointListJson(1, true),
             "on_request",
             200,
             1024,
             "");
-    String smallBudget = text.replace("\"memory_mb\":192", "\"memory_mb\":1");
-    try (ProxyFixture proxy = new ProxyFixture(BalancerConfig.parse(smallBudget, Map.of()));
-        Client first = proxy.client();
-        Client second = proxy.client()) {
+    String configWithSmallBudget = configText.replace("\"memory_mb\":192", "\"memory_mb\":1");
+    try (ProxyFixture proxy =
+            new ProxyFixture(BalancerConfig.parse(configWithSmallBudget, Map.of()));
+        Client firstClient = proxy.client();
+        Client secondClient = proxy.client()) {
       String request = ProxyFixture.post("t", "Idempotency-Key: k\r\n", "x".repeat(60_000));
-      String part = request.substring(0, 40_000);
-      first.write(part);
-      try (Client other = proxy.client()) {
-        other.exchange(DownstreamFixture.HEALTH_CHECK);
+      String partialRequest = request.substring(0, 40_000);
+      firstClient.write(partialRequest);
+      try (Client otherClient = proxy.client()) {
+        otherClient.exchange(DownstreamFixture.HEALTH_CHECK_REQUEST);
       }
-      second.write(part);
-      assertTrue(second.readResponse().startsWith("HTTP/1.1 413 "));
-      assertNull(second.readResponse());
+      secondClient.write(partialRequest);
+      assertTrue(secondClient.readResponse().startsWith("HTTP/1.1 413 "));
+      assertNull(secondClient.readResponse());
     }
   }
 
@@ -277,7 +284,7 @@
       throws IOException {
     String member = ProxyFixture.endpointJson("s-1", upstream.address(), "ready");
     return ProxyFixture.config(
-        DownstreamFixture.UNREACHABLE,
+        DownstreamFixture.UNREACHABLE_ADDRESS,
         ProxyFixture.endpointListJson(1, true, member),
         "on_request",
         200,
--- a/src/test/java/loadbalancer/downstream/RequestParserTest.java
+++ b/src/test/java/loadbalancer/downstream/RequestParserTest.java
@@ -32,30 +32,30 @@
 
   RequestParserTest() throws IOException {
     String endpoints = ProxyFixture.endpointListJson(1, true);
-    settings = ProxyFixture.config(DownstreamFixture.UNREACHABLE, endpoints).settings();
+    settings = ProxyFixture.config(DownstreamFixture.UNREACHABLE_ADDRESS, endpoints).settings();
     EventLoopLagMonitor lagMonitor =
         new EventLoopLagMonitor(new EmbeddedChannel().eventLoop(), clock);
     parser = new RequestParser(settings, clock, lagMonitor);
   }
 
-  private RoutingResult parse(String header, String value) {
+  private RoutingResult parse(String headerName, String value) {
     FullHttpRequest request =
         new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, HttpProtocol.API_PATH);
     request.headers().set(HttpProtocol.TRACE_ID_HEADER, "t");
     request.headers().set(HttpProtocol.CLASS_HEADER, "safe");
-    request.headers().set(header, value);
+    request.headers().set(headerName, value);
     return parser.parse(request, parser.earliestArrivalNanos(), null);
   }
 
-  private DownstreamRequest parseAccepted(String header, String value) {
-    return assertInstanceOf(DownstreamRequest.class, parse(header, value));
+  private DownstreamRequest parseAccepted(String headerName, String value) {
+    return assertInstanceOf(DownstreamRequest.class, parse(headerName, value));
   }
 
   @ParameterizedTest
   @CsvSource({"0, 0", "480, 480", "999999999, 40000"})
-  void takesTheDeadlineFromTheTimeoutOrTheClass(String header, long expectedMillis) {
+  void takesTheDeadlineFromTheTimeoutOrTheClass(String timeout, long expectedMillis) {
     long beforeNanos = clock.nowNanos();
-    DownstreamRequest request = parseAccepted(HttpProtocol.TIMEOUT_HEADER, header);
+    DownstreamRequest request = parseAccepted(HttpProtocol.TIMEOUT_HEADER, timeout);
     long afterNanos = clock.nowNanos();
     assertEquals(40_000_000_000L, request.requestClass().deadlineNanos());
     long networkAllowanceMillis = 20;
@@ -82,9 +82,9 @@
 
   @ParameterizedTest
   @ValueSource(strings = {HttpProtocol.TRACE_ID_HEADER, HttpProtocol.TENANT_HEADER})
-  void rejectsOverlongNames(String header) {
-    assertInstanceOf(DownstreamRequest.class, parse(header, "n".repeat(128)));
-    LocalReply reply = assertInstanceOf(LocalReply.class, parse(header, "n".repeat(129)));
+  void rejectsOverlongNames(String headerName) {
+    assertInstanceOf(DownstreamRequest.class, parse(headerName, "n".repeat(128)));
+    LocalReply reply = assertInstanceOf(LocalReply.class, parse(headerName, "n".repeat(129)));
     assertEquals(HttpResponseStatus.BAD_REQUEST, reply.status());
   }
 
--- a/src/test/java/loadbalancer/testing/FakeServer.java
+++ b/src/test/java/loadbalancer/testing/FakeServer.java
@@ -114,7 +114,7 @@
   /** Reader of HTTP messages from servers and clients. */
   public static final class MessageReader {
 
-    private static final String LENGTH = "content-length:";
+    private static final String CONTENT_LENGTH_PREFIX = "content-length:";
 
     private MessageReader() {}
 
@@ -125,15 +125,15 @@
     public static String read(InputStream in) throws IOException {
       ByteArrayOutputStream bytes = new ByteArrayOutputStream();
       while (!bytes.toString(StandardCharsets.ISO_8859_1).endsWith("\r\n\r\n")) {
-        int next = in.read();
-        if (next < 0) {
+        int nextByte = in.read();
+        if (nextByte < 0) {
           return null;
         }
-        bytes.write(next);
+        bytes.write(nextByte);
       }
       for (String line : bytes.toString(StandardCharsets.ISO_8859_1).split("\r\n", 0)) {
-        if (line.toLowerCase(Locale.ROOT).startsWith(LENGTH)) {
-          int length = Integer.parseInt(line.substring(LENGTH.length()).trim());
+        if (line.toLowerCase(Locale.ROOT).startsWith(CONTENT_LENGTH_PREFIX)) {
+          int length = Integer.parseInt(line.substring(CONTENT_LENGTH_PREFIX.length()).trim());
           bytes.write(in.readNBytes(length));
         }
       }
@@ -171,13 +171,13 @@
 
     /** Reads until the input ends with this text, or the peer closes the connection. */
     public void readUntil(String suffix) throws IOException {
-      StringBuilder read = new StringBuilder();
-      while (!read.toString().endsWith(suffix)) {
-        int next = in.read();
-        if (next < 0) {
+      StringBuilder received = new StringBuilder();
+      while (!received.toString().endsWith(suffix)) {
+        int nextByte = in.read();
+        if (nextByte < 0) {
           return;
         }
-        read.append((char) next);
+        received.append((char) nextByte);
       }
     }
 
--- a/src/test/java/loadbalancer/testing/ProxyFixture.java
+++ b/src/test/java/loadbalancer/testing/ProxyFixture.java
@@ -41,7 +41,7 @@
    */
   public static final int TIMEOUT_SECONDS = 60;
 
-  private static final String CLASS_FORMAT =
+  private static final String REQUEST_CLASS_FORMAT =
       """
       {"name":"%s","effect":"%s","dedup-scope":"cell",\
       "window-ns":2000000000,"aim-ns":20000000000,"deadline-ns":40000000000}\
@@ -97,12 +97,12 @@
     }
 
     /** Waits for the next event of a type, and skips all others before it. */
-    public <T extends Event> T awaitEvent(Class<T> kind) throws InterruptedException {
+    public <T extends Event> T awaitEvent(Class<T> type) throws InterruptedException {
       while (true) {
         Event event = events.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
-        assertNotNull(event, "no " + kind.getSimpleName() + " arrived");
-        if (kind.isInstance(event)) {
-          return kind.cast(event);
+        assertNotNull(event, "no " + type.getSimpleName() + " arrived");
+        if (type.isInstance(event)) {
+          return type.cast(event);
         }
       }
     }
@@ -138,8 +138,8 @@
     }
 
     /** Sends a request and returns the response. */
-    public String exchange(String text) throws IOException {
-      return write(text).readResponse();
+    public String exchange(String request) throws IOException {
+      return write(request).readResponse();
     }
 
     @Override
@@ -230,9 +230,9 @@
       int sockets,
       String moreFields)
       throws IOException {
-    String text =
+    String configText =
         configText(discovery, initialEndpoints, mode, connectTimeoutMillis, sockets, moreFields);
-    return BalancerConfig.parse(text, Map.of());
+    return BalancerConfig.parse(configText, Map.of());
   }
 
   /**
@@ -264,8 +264,8 @@
             moreFields,
             initialEndpoints,
             mode,
-            CLASS_FORMAT.formatted("safe", "idempotent"),
-            CLASS_FORMAT.formatted("keyed", "deduplicated"),
+            REQUEST_CLASS_FORMAT.formatted("safe", "idempotent"),
+            REQUEST_CLASS_FORMAT.formatted("keyed", "deduplicated"),
             connectTimeoutMillis * 1_000_000L);
   }
 }
