--- a/src/main/java/loadbalancer/downstream/ClientConnection.java
+++ b/src/main/java/loadbalancer/downstream/ClientConnection.java
@@ -33,7 +33,7 @@
 
   /**
    * Time after the deadline of a queued request at which the request ahead of it is aborted. A
-   * response that is less than half a second late is merely worthless; a later one counts as lost.
+   * response that is half a second late or more counts as lost, not merely as worthless.
    */
   private static final long OVERDUE_GRACE_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
 
@@ -228,7 +228,7 @@
     input.readPending();
   }
 
-  /** Returns whether closing now would cut off a request that is arriving or the last response. */
+  /** Returns whether a request is arriving, or the client may not have the last response yet. */
   boolean isReceivingOrLingering() {
     return input.hasPartialRequest() || connections.isIn(State.LINGERING, this);
   }
@@ -246,8 +246,8 @@
     input.requestCompleted();
     currentBodyBytes = request.content().readableBytes();
     connections.setState(this, State.SERVING);
-    // The error response to HEAD has a body, which the client does not expect, so that no response
-    // may follow it.
+    // A client would take the body of the error response to HEAD for the next response, so that the
+    // connection is closed after it.
     keepAlive = HttpUtil.isKeepAlive(request) && !request.method().equals(HttpMethod.HEAD);
     RoutingResult result = router.route(request, arrivedAtNanos, this, halfClosed);
     if (result instanceof DownstreamRequest accepted) {
--- a/src/main/java/loadbalancer/downstream/ClientConnections.java
+++ b/src/main/java/loadbalancer/downstream/ClientConnections.java
@@ -22,7 +22,7 @@
      * The last response has been sent and the output closed; the client may not have read it yet.
      */
     LINGERING,
-    /** A request is expected or has partly arrived. */
+    /** The first request is expected, or a part of a request has arrived. */
     READING,
     /** The connection is kept alive between requests. */
     IDLE,
@@ -37,8 +37,8 @@
   private static final long READING_LIMIT_NANOS = TimeUnit.MILLISECONDS.toNanos(2000);
 
   /**
-   * Time for the client to read an error. Closing at once with unread input would reset the
-   * connection, and the error would be lost.
+   * Time for the client to read its last response. Closing at once with unread input would reset
+   * the connection, and the response could be lost.
    */
   private static final long LINGERING_LIMIT_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
@@ -99,8 +99,8 @@
   }
 
   /**
-   * Closes the connections that exceed the time limit of their state, those with a partial request
-   * after an error response.
+   * Closes the connections that exceed the time limit of their state. One with a partial request
+   * gets an error response first.
    */
   void closeExpired() {
     for (ClientConnection connection : expired(State.LINGERING, LINGERING_LIMIT_NANOS)) {
@@ -126,7 +126,10 @@
     }
   }
 
-  /** Times out every request that has not arrived completely. */
+  /**
+   * Times out every connection in {@link State#READING}: one with a partial request gets an error
+   * response, and one that has sent nothing is closed.
+   */
   void expireIncompleteRequests() {
     for (ClientConnection connection : List.copyOf(enteredAtNanos.get(State.READING).keySet())) {
       expireIncompleteRequest(connection);
@@ -134,8 +137,8 @@
   }
 
   /**
-   * Times out a request that has not arrived completely. Pending input is read first, as the rest
-   * of the request may be unread only because the event loop lagged.
+   * Times out a connection that waits for a complete request. Pending input is read first, as the
+   * rest of the request may be unread only because the event loop lagged.
    */
   private void expireIncompleteRequest(ClientConnection connection) {
     connection.readPending();
@@ -145,9 +148,9 @@
   }
 
   /**
-   * Closes a connection unless it is serving, and returns whether it did. Pending input is read
-   * first, as a request that the kernel has received counts as received, and closing with unread
-   * input would reset the connection.
+   * Closes a connection unless it is serving, and returns whether it was closed. Pending input is
+   * read first, as a request that the kernel has received counts as received, and closing with
+   * unread input would reset the connection.
    */
   private boolean closeUnlessServing(ClientConnection connection) {
     connection.readPending();
--- a/src/main/java/loadbalancer/downstream/ClientInput.java
+++ b/src/main/java/loadbalancer/downstream/ClientInput.java
@@ -10,8 +10,8 @@
 final class ClientInput {
 
   /**
-   * Limit on the bytes that {@link #readPending} reads: enough for whole requests, but bounded when
-   * a client floods the connection.
+   * Number of bytes after which {@link #readPending} stops: enough for whole requests, but bounded
+   * when a client floods the connection.
    */
   private static final int MAX_PENDING_BYTES = 1 << 18;
 
@@ -31,7 +31,7 @@
    */
   private boolean discarded;
 
-  /** How long the input that is being read may have waited for the connection to be accepted. */
+  /** Longest time that the input being read may have waited for the connection to be accepted. */
   private long acceptDelayNanos;
 
   ClientInput(Channel channel) {
@@ -85,8 +85,8 @@
   }
 
   /**
-   * Reads all pending input, in several reads if necessary, which may start the serving of a
-   * request.
+   * Reads all pending input, in several reads if necessary, or about {@link #MAX_PENDING_BYTES} if
+   * it is more. This may start the serving of a request.
    */
   void readPending() {
     long bytesReadAtStart = bytesRead;
--- a/src/main/java/loadbalancer/downstream/DownstreamListener.java
+++ b/src/main/java/loadbalancer/downstream/DownstreamListener.java
@@ -152,8 +152,9 @@
   }
 
   /**
-   * Responds with an error to every request that has arrived only in part, and closes connections
-   * that have not sent any part of their first request.
+   * Times out every connection that is waiting for its first request or for the rest of a request.
+   * One with a partial request gets an error response, and one that has sent nothing is closed.
+   * Connections that are serving a request are left alone.
    */
   public void expireIncompleteRequests() {
     connections.expireIncompleteRequests();
--- a/src/main/java/loadbalancer/downstream/DownstreamRequest.java
+++ b/src/main/java/loadbalancer/downstream/DownstreamRequest.java
@@ -8,13 +8,14 @@
  *
  * @param traceId the id that the client has given the request, unique among the requests in flight
  * @param tenant name of the tenant; null for none
- * @param affinityKey requests with equal keys share endpoints; null for none
+ * @param affinityKey key of session affinity: requests with equal keys share endpoints; null for
+ *     none
  * @param workHintNanos the expected cost of the request; 0 if unknown
- * @param retry whether the client says that it repeats an earlier request
+ * @param retry true if the client states that it repeats an earlier request
  * @param deadlineNanos clock reading at which the client stops waiting, less an allowance for the
  *     network
- * @param unreadNanos how long the request may have waited before it was parsed: unread because the
- *     event loop lagged or accepting failed, or queued behind other pipelined requests
+ * @param unreadNanos longest time that the request may have waited before it was parsed: unread
+ *     because the event loop lagged or accepting failed, or queued behind other pipelined requests
  * @param message the request as received, which the handler that accepts it releases
  * @param responseSink receives the final response
  */
--- a/src/main/java/loadbalancer/downstream/ListenerChannel.java
+++ b/src/main/java/loadbalancer/downstream/ListenerChannel.java
@@ -6,12 +6,15 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** The listening socket. It tracks how long the connections that it accepts may have waited. */
+/**
+ * The listening socket. It determines how long each connection may have waited to be accepted
+ * because accepting failed.
+ */
 public final class ListenerChannel extends NioServerSocketChannel {
 
   /**
-   * Time after accepting has recovered in which all connections that waited in the queue are
-   * accepted.
+   * Time after the first successful accept call within which all connections that waited in the
+   * queue are accepted.
    */
   private static final long RECOVERY_NANOS = TimeUnit.SECONDS.toNanos(1);
 
@@ -40,7 +43,7 @@
     }
     recoveredAtNanos = recoveredAtNanos == 0 ? nowNanos : recoveredAtNanos;
     if (nowNanos - recoveredAtNanos > RECOVERY_NANOS) {
-      // No call found the queue empty, as it always held as many connections as one turn accepts.
+      // All connections that waited are accepted by now; new ones kept the queue from being empty.
       failingSinceNanos = 0;
       return 0;
     }
--- a/src/main/java/loadbalancer/downstream/ListenerState.java
+++ b/src/main/java/loadbalancer/downstream/ListenerState.java
@@ -26,7 +26,7 @@
     return ready && !draining;
   }
 
-  /** Returns whether a connection is closed after a response unless further requests are queued. */
+  /** Returns whether connections are closed after the response to their last queued request. */
   boolean isClosingConnections() {
     return closingConnections;
   }
--- a/src/main/java/loadbalancer/downstream/PipelinedRequests.java
+++ b/src/main/java/loadbalancer/downstream/PipelinedRequests.java
@@ -15,7 +15,7 @@
   /** Limit on the number of queued requests, which bounds the memory they take. */
   private static final int MAX_REQUESTS = 32;
 
-  /** Memory that a queued request takes in addition to the text of its head, in bytes. */
+  /** Memory that a queued request takes in addition to its URI and headers, in bytes. */
   private static final long REQUEST_OVERHEAD_BYTES = 512;
 
   /** Memory that each header takes in addition to its text, in bytes. */
@@ -25,6 +25,7 @@
    * A queued request, whose timeout runs from its arrival.
    *
    * @param deadlineNanos clock reading at which the timeout ends
+   * @param headBytes bytes that its head counts against the budget; 0 if there was no room for it
    */
   record QueuedRequest(
       FullHttpRequest request, long arrivedAtNanos, long deadlineNanos, long headBytes) {}
@@ -42,9 +43,9 @@
   }
 
   /**
-   * Queues a request and retains it. Returns false if too many requests are queued already or too
-   * much memory is in use: the request is then queued as one whose decoding failed, and its error
-   * response ends the connection when its turn comes.
+   * Queues a request and retains it. If too many requests are queued already or too much memory is
+   * in use, queues it as one whose decoding failed, so that it gets an error response in its turn,
+   * and returns false: the caller must discard further input.
    */
   boolean enqueue(FullHttpRequest request, long arrivedAtNanos, long deadlineNanos) {
     long headBytes = headBytes(request);
--- a/src/main/java/loadbalancer/downstream/RequestDecoder.java
+++ b/src/main/java/loadbalancer/downstream/RequestDecoder.java
@@ -10,14 +10,14 @@
  */
 final class RequestDecoder extends HttpRequestDecoder {
 
-  /** True if the first line of a request has been decoded and its end has not been reported. */
+  /** True from the decoding of a request's first line until {@link #requestEnded}. */
   private boolean requestStarted;
 
   RequestDecoder() {
     super(new HttpDecoderConfig());
   }
 
-  /** Returns whether a part of a request has arrived that has not been passed on as a whole. */
+  /** Returns whether a request has begun to arrive and has not yet been passed on as a whole. */
   boolean hasPartialRequest() {
     return requestStarted || actualReadableBytes() > 0;
   }
--- a/src/main/java/loadbalancer/downstream/RequestHandler.java
+++ b/src/main/java/loadbalancer/downstream/RequestHandler.java
@@ -21,8 +21,8 @@
   void clientHalfClosed(String traceId);
 
   /**
-   * Completes a request at once, whatever its outcome, because the responses to later requests of
-   * its client are overdue. Does nothing if the request is already completed.
+   * Responds to a request with an error at once and cancels its attempts, because the responses to
+   * later requests of its client are overdue. Does nothing if the request is already completed.
    */
   void abort(String traceId);
 
--- a/src/main/java/loadbalancer/downstream/RequestParser.java
+++ b/src/main/java/loadbalancer/downstream/RequestParser.java
@@ -44,8 +44,8 @@
   private static final int MAX_IDENTIFIER_LENGTH = 128;
 
   /**
-   * Time that is subtracted from the timeout for the network, as the client's timeout starts when
-   * it sends the request and ends when it has received the response.
+   * Time that is subtracted from the timeout for both ways through the network, as the client's
+   * timeout runs from sending the request to receiving the response.
    */
   private static final long NETWORK_ALLOWANCE_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
 
@@ -80,8 +80,9 @@
   }
 
   /**
-   * Returns the clock reading at which a request's timeout ends, which is limited by the deadline
-   * of its class, or by the longest deadline of all classes if its class is unknown.
+   * Returns the clock reading at which a request's timeout ends, without an allowance for the
+   * network. The timeout is at most the deadline of the request's class, or the longest deadline of
+   * all classes if its class is unknown; a malformed timeout counts as 0.
    */
   long deadlineNanos(FullHttpRequest request, long arrivedAtNanos) {
     RequestClass requestClass = classes.get(request.headers().get(HttpProtocol.CLASS_HEADER, ""));
@@ -171,7 +172,10 @@
         responseSink);
   }
 
-  /** Returns the timeout of a request, or a negative value if its header is not a number. */
+  /**
+   * Returns the timeout that a request states, {@link #MAX_TIMEOUT_MILLIS} if it states none, or -1
+   * if its timeout header is not a whole number of at most {@link #MAX_DIGITS} digits.
+   */
   private static long timeoutMillis(HttpHeaders headers) {
     String timeout = headers.get(HttpProtocol.TIMEOUT_HEADER);
     return timeout == null ? MAX_TIMEOUT_MILLIS : parseWholeNumber(timeout);
@@ -200,7 +204,8 @@
   }
 
   /**
-   * Returns the number, or -1 if the text is anything but 1 to {@link #MAX_DIGITS} decimal digits.
+   * Returns the value of a text of 1 to {@link #MAX_DIGITS} decimal digits, or -1 for any other
+   * text.
    */
   private static long parseWholeNumber(String text) {
     if (text.isEmpty() || text.length() > MAX_DIGITS) {
--- a/src/main/java/loadbalancer/downstream/RequestRouter.java
+++ b/src/main/java/loadbalancer/downstream/RequestRouter.java
@@ -26,7 +26,7 @@
     return parser.earliestArrivalNanos();
   }
 
-  /** Returns the clock reading at which a request's timeout ends, if it is well formed. */
+  /** Returns the clock reading at which a request's timeout ends; a malformed one counts as 0. */
   long deadlineNanos(FullHttpRequest request, long arrivedAtNanos) {
     return parser.deadlineNanos(request, arrivedAtNanos);
   }
@@ -37,7 +37,7 @@
   }
 
   /**
-   * Routes a request, without retaining it, when its turn has come.
+   * Routes a request whose turn has come, without retaining it.
    *
    * @param arrivedAtNanos clock reading of its earliest possible arrival, since which a pipelined
    *     request has waited for its turn
@@ -77,7 +77,7 @@
 
   private RoutingResult admit(DownstreamRequest request, boolean clientHalfClosed) {
     if (handler.isInFlight(request.traceId())) {
-      // If it were accepted, it and its effect would be confused with the request that has this id.
+      // Two requests in flight with the same id, and their effects, could not be told apart.
       return new LocalReply(
           HttpResponseStatus.CONFLICT,
           HttpProtocol.TRACE_ID_HEADER + " is that of a request in flight");
--- a/src/test/java/loadbalancer/ArchitectureTest.java
+++ b/src/test/java/loadbalancer/ArchitectureTest.java
@@ -26,7 +26,7 @@
 import java.util.stream.Stream;
 
 /**
- * Checks the rules between packages: decisions have no side effects, and lower packages do not
+ * Checks the rules between packages: decision code has no side effects, and lower packages do not
  * depend on higher ones.
  */
 @AnalyzeClasses(packages = "loadbalancer", importOptions = ImportOption.DoNotIncludeTests.class)
@@ -54,8 +54,8 @@
           "upstream");
 
   /**
-   * Decisions use no I/O, clocks, threads, logging or libraries: only these packages, without the
-   * classes that the next rule excludes.
+   * Decision code uses no I/O, clocks, threads, logging or libraries. It may use only these
+   * packages, except the classes that the next rule excludes.
    */
   @ArchTest
   final ArchRule decisionsDependOnlyOnThemselves =
@@ -72,8 +72,8 @@
               "java.util.stream");
 
   /**
-   * Excludes the classes of java.lang and java.util that give access to clocks, the environment,
-   * processes, threads and input.
+   * Decision code must not use the classes of java.lang and java.util that give access to clocks,
+   * the environment, processes, threads and input.
    */
   @ArchTest
   final ArchRule decisionsUseNoClocksEnvironmentOrThreads =
@@ -89,7 +89,7 @@
                   + "|java\\.util\\.(Calendar|Currency|Date|GregorianCalendar|Locale|Properties"
                   + "|ResourceBundle|Scanner|ServiceLoader|Timer|TimerTask|TimeZone|UUID)(\\$.*)?");
 
-  /** The only source of randomness in decisions is the seed that they are given. */
+  /** The only source of randomness in decision code is the seed that it is given. */
   @ArchTest
   final ArchRule decisionsUseNoRandomnessButTheirSeed =
       noClasses()
--- a/src/test/java/loadbalancer/DecisionModulesTest.java
+++ b/src/test/java/loadbalancer/DecisionModulesTest.java
@@ -22,7 +22,7 @@
 
   private static final Path DECISION_SOURCES = Path.of("src/main/java/loadbalancer/decision");
 
-  /** Most lines of a module; a longer one has more than one responsibility. */
+  /** Most lines of a module; a longer one is taken to have more than one responsibility. */
   private static final int MAX_MODULE_LINES = 220;
 
   @Test
@@ -51,8 +51,8 @@
   }
 
   /**
-   * Returns all sources of the package but package-info.java. Its API, which other packages share,
-   * is in a subpackage.
+   * Returns the source files of the decision package except package-info.java. The API of the
+   * package, which other packages share, is in a subpackage and not included.
    */
   private static List<Path> sources() throws IOException {
     try (Stream<Path> files = Files.list(DECISION_SOURCES)) {
--- a/src/test/java/loadbalancer/DeploymentTest.java
+++ b/src/test/java/loadbalancer/DeploymentTest.java
@@ -17,8 +17,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Tests what {@code run} in the deploy file does before it starts the Java virtual machine, for
- * which a stub prints its arguments.
+ * Tests the {@code run} command of the deploy file. A stub takes the place of the Java virtual
+ * machine and prints its process statistics and arguments.
  */
 class DeploymentTest {
 
--- a/src/test/java/loadbalancer/PackagedJarIT.java
+++ b/src/test/java/loadbalancer/PackagedJarIT.java
@@ -77,7 +77,7 @@
     return serve(config, List.of());
   }
 
-  /** Starts a proxy by way of a wrapper, which executes the command that follows it. */
+  /** Starts a proxy by a wrapper command, which executes the command that follows it. */
   private Process serve(String config, List<String> wrapper) throws IOException {
     Files.writeString(folder.resolve("config"), config);
     List<String> command = new ArrayList<>(wrapper);
--- a/src/test/java/loadbalancer/downstream/ClientDisconnectTest.java
+++ b/src/test/java/loadbalancer/downstream/ClientDisconnectTest.java
@@ -32,7 +32,8 @@
   private static final long ATTEMPT_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(30);
 
   /**
-   * The engine queues the request and starts no attempt of it, whose end could be reported instead.
+   * The engine starts no attempt of the request, so that the end of an attempt cannot be reported
+   * instead.
    */
   @Test
   void reportsDisconnectOfAClientWhoseRequestIsQueued() throws Exception {
@@ -47,7 +48,7 @@
     }
   }
 
-  /** The connection has to be read even while requests are queued, or its end goes unnoticed. */
+  /** Input must be read even while requests are queued; the disconnect is not noticed otherwise. */
   @Test
   void reportsDisconnectOfAClientWithPipelinedRequests() throws Exception {
     ScriptedEngine engine = new ScriptedEngine((event, actions) -> {});
@@ -99,8 +100,8 @@
   }
 
   /**
-   * Likewise for a retry that is started in the turn of the event loop in which the client
-   * disconnects.
+   * The client disconnects while the engine handles the end of the first attempt, just before the
+   * engine starts the retry.
    */
   @ParameterizedTest
   @EnumSource(DisconnectKind.class)
--- a/src/test/java/loadbalancer/downstream/ClientHalfCloseTest.java
+++ b/src/test/java/loadbalancer/downstream/ClientHalfCloseTest.java
@@ -105,9 +105,7 @@
     }
   }
 
-  /**
-   * The first attempt, at an upstream that is slow to respond, may still succeed; no hedge is sent.
-   */
+  /** The first attempt continues, as its upstream may still respond, but no hedge is sent. */
   @Test
   void doesNotSendAHedgedRequestForAHalfClosedClient() throws Exception {
     AtomicReference<Client> halfClosingClient = new AtomicReference<>();
--- a/src/test/java/loadbalancer/downstream/DownstreamFixture.java
+++ b/src/test/java/loadbalancer/downstream/DownstreamFixture.java
@@ -57,9 +57,9 @@
   }
 
   /**
-   * Waits until the proxy has handled everything that clients have sent or closed before. When its
-   * second response arrives, it has polled all sockets once more and performed the actions that
-   * followed.
+   * Waits until the proxy has handled everything that clients have sent or closed before. When it
+   * responds to the second health check, it has polled all sockets once more and performed the
+   * resulting actions.
    */
   static void awaitInputRead(ProxyFixture proxy) throws IOException {
     for (int i = 0; i < 2; i++) {
--- a/src/test/java/loadbalancer/downstream/MisbehavingClientTest.java
+++ b/src/test/java/loadbalancer/downstream/MisbehavingClientTest.java
@@ -142,7 +142,7 @@
     }
   }
 
-  /** Otherwise another client could interfere with a request, and its effect, by using its id. */
+  /** A client must not interfere with another client's request, or its effect, by using its id. */
   @Test
   void rejectsATraceIdThatIsInFlight() throws Exception {
     CountDownLatch signal = new CountDownLatch(1);
--- a/src/test/java/loadbalancer/downstream/RequestParserTest.java
+++ b/src/test/java/loadbalancer/downstream/RequestParserTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Tests the limits on the values of request headers. */
+/** Tests which values of request headers are accepted, and how they are limited. */
 class RequestParserTest {
 
   private final MonotonicClock clock = new MonotonicClock();
--- a/src/test/java/loadbalancer/testing/FakeServer.java
+++ b/src/test/java/loadbalancer/testing/FakeServer.java
@@ -188,8 +188,8 @@
     }
 
     /**
-     * Waits until the script has ended, because it found the end of the connection or closed it.
-     * Returns false if it has not ended at the timeout.
+     * Waits until the connection's script has returned. Returns false if it has not returned at the
+     * timeout.
      */
     public boolean awaitScriptEnd() throws InterruptedException {
       return scriptEnded.await(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS);
@@ -206,7 +206,7 @@
       } catch (SocketTimeoutException e) {
         return false;
       } catch (IOException e) {
-        // Closed on this side too, or reset; it has ended in both cases.
+        // The connection was reset, or has been closed on this side; it has ended in both cases.
         return true;
       }
     }
--- a/src/test/java/loadbalancer/testing/ProxyFixture.java
+++ b/src/test/java/loadbalancer/testing/ProxyFixture.java
@@ -58,7 +58,7 @@
     /** The events that {@link #awaitEvent} has neither returned nor skipped yet. */
     public final BlockingQueue<Event> events = new LinkedBlockingQueue<>();
 
-    /** The distinct ids of all endpoints that the engine was notified of, in that order. */
+    /** The ids of all endpoints that the engine was notified of, each once, in order of arrival. */
     public final List<Long> endpointIds = new ArrayList<>();
 
     private final Script script;
@@ -151,7 +151,7 @@
   /** The proxy, which is listening. */
   public final ProxyServer server;
 
-  /** Starts a proxy with a decision engine, which also replaces itself if it throws. */
+  /** Starts a proxy with this decision engine, which stays in use even after it has thrown. */
   public ProxyFixture(BalancerConfig config, DecisionEngine engine) throws IOException {
     server = ProxyServer.prepare(config, generation -> engine, 0);
     server.listen();
@@ -177,7 +177,7 @@
     server.shutDownNow();
   }
 
-  /** Returns an idempotent request with further header lines, each ending with CRLF. */
+  /** Returns a GET request of an idempotent class; each header line ends with CRLF. */
   public static String get(String traceId, String headerLines) {
     return "GET /api?q=1 HTTP/1.1\r\nHost: backend.local\r\nX-Trace-Id: "
         + traceId
@@ -186,7 +186,7 @@
         + "\r\n";
   }
 
-  /** Returns a request of a class with idempotency keys, with further header lines and a body. */
+  /** Returns a POST request of a class with idempotency keys; each header line ends with CRLF. */
   public static String post(String traceId, String headerLines, String body) {
     return "POST /api HTTP/1.1\r\nHost: backend.local\r\nX-Trace-Id: "
         + traceId
@@ -198,7 +198,7 @@
         + body;
   }
 
-  /** Returns a member of discovery's list. */
+  /** Returns the JSON of an endpoint in discovery's list. */
   public static String endpointJson(String name, String address, String phase) {
     return """
     {"id":"%s","host_port":"%s","locality":"a","flavor":"m","cell":0,"phase":"%s",\
@@ -207,7 +207,7 @@
         .formatted(name, address, phase);
   }
 
-  /** Returns discovery's list, or changes to it. */
+  /** Returns the JSON of discovery's endpoint list, or of changes to it if it is not complete. */
   public static String endpointListJson(int revision, boolean complete, String... members) {
     return """
     {"revision":%d,"complete":%b,"members":[%s]}\
@@ -221,7 +221,7 @@
     return config(discovery, initialEndpoints, "on_request", 200, 1024, "");
   }
 
-  /** Returns the configuration in {@link #configText}. */
+  /** Returns the configuration that {@link #configText} states. */
   public static BalancerConfig config(
       String discovery,
       String initialEndpoints,
@@ -241,7 +241,7 @@
    * @param discovery host:port of the discovery agent
    * @param initialEndpoints the endpoint list that is known at the start
    * @param mode {@code on_request} or {@code pushed}
-   * @param moreFields further fields, each followed by a comma
+   * @param moreFields further fields of the file, each followed by a comma
    */
   public static String configText(
       String discovery,
--- a/src/test/java/loadbalancer/testing/UnresponsiveUpstream.java
+++ b/src/test/java/loadbalancer/testing/UnresponsiveUpstream.java
@@ -14,7 +14,7 @@
   private final ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
   private final List<Socket> backlog = new ArrayList<>();
 
-  /** Listens, and connects until no further connection is established. */
+  /** Starts to listen, and fills the accept queue until no further connection is established. */
   public UnresponsiveUpstream() throws IOException {
     while (true) {
       Socket socket = new Socket();
@@ -27,7 +27,7 @@
     }
   }
 
-  /** Returns the address as in an endpoint list. */
+  /** Returns the address of the upstream, as host:port. */
   public String address() {
     return "127.0.0.1:" + listener.getLocalPort();
   }
