--- a/src/test/java/loadbalancer/downstream/ClientConnectionFailureTest.java
+++ b/src/test/java/loadbalancer/downstream/ClientConnectionFailureTest.java
@@ -100,7 +100,7 @@
   }
 
   @Test
-  void respondsWithAnErrorToWhatHasArrivedBeforeAFailure() {
+  void respondsWithAnErrorToAPartialRequestAfterAFailure() {
     receive("GET /api HTTP/1.1\r\nHo");
     channel.pipeline().fireExceptionCaught(new OutOfMemoryError("no buffer"));
     assertTrue(takeOutput().startsWith("HTTP/1.1 500 "));
--- a/src/test/java/loadbalancer/downstream/RequestParserTest.java
+++ b/src/test/java/loadbalancer/downstream/RequestParserTest.java
@@ -82,7 +82,7 @@
 
   @ParameterizedTest
   @ValueSource(strings = {HttpProtocol.TRACE_ID_HEADER, HttpProtocol.TENANT_HEADER})
-  void rejectsOverlongNames(String headerName) {
+  void rejectsOverlongTraceIdsAndTenants(String headerName) {
     assertInstanceOf(DownstreamRequest.class, parse(headerName, "n".repeat(128)));
     LocalReply reply = assertInstanceOf(LocalReply.class, parse(headerName, "n".repeat(129)));
     assertEquals(HttpResponseStatus.BAD_REQUEST, reply.status());
