--- a/src/main/java/loadbalancer/downstream/DownstreamListener.java
+++ b/src/main/java/loadbalancer/downstream/DownstreamListener.java
@@ -131,13 +131,13 @@
    * that more may be queued.
    */
   private boolean acceptPending() {
-    long failuresBefore = acceptRetry.failures();
+    long failuresBefore = acceptRetry.failureCount();
     long acceptedBefore;
     do {
       acceptedBefore = acceptedConnections;
       PendingReads.readNow(serverChannel);
     } while (acceptedConnections > acceptedBefore);
-    return acceptRetry.failures() == failuresBefore;
+    return acceptRetry.failureCount() == failuresBefore;
   }
 
   /** Returns whether the listener still accepts connections. */
@@ -147,13 +147,14 @@
 
   /** Closes idle connections. From now on every connection is closed after its last response. */
   public void closeIdleConnections() {
-    state.startClosing();
+    state.startClosingConnections();
     connections.closeIdle();
   }
 
   /**
-   * Responds with an error to every request that has arrived only in part, and closes connections
-   * that have not sent any part of their first request.
+   * Times out every connection that is waiting for its first request or for the rest of a request.
+   * One with a partial request gets an error response, and one that has sent nothing is closed.
+   * Connections that are serving a request are left alone.
    */
   public void expireIncompleteRequests() {
     connections.expireIncompleteRequests();
--- a/src/test/java/loadbalancer/DecisionModulesTest.java
+++ b/src/test/java/loadbalancer/DecisionModulesTest.java
@@ -20,9 +20,9 @@
  */
 class DecisionModulesTest {
 
-  private static final Path DECISIONS = Path.of("src/main/java/loadbalancer/decision");
+  private static final Path DECISION_SOURCES = Path.of("src/main/java/loadbalancer/decision");
 
-  /** Most lines of a module; a longer one has more than one responsibility. */
+  /** Most lines of a module; a longer one is taken to have more than one responsibility. */
   private static final int MAX_MODULE_LINES = 220;
 
   @Test
@@ -40,22 +40,22 @@
     String deploy = Files.readString(Path.of("deploy/balancer.toml"));
     Matcher policy = Pattern.compile("(?m)^policy = \\[([^]]*)]").matcher(deploy);
     assertTrue(policy.find(), "no policy in the deploy file");
-    TreeSet<String> named = new TreeSet<>();
+    TreeSet<String> listedPaths = new TreeSet<>();
     Matcher path = Pattern.compile("\"([^\"]*)\"").matcher(policy.group(1));
     while (path.find()) {
-      named.add(path.group(1));
+      listedPaths.add(path.group(1));
     }
     assertEquals(
         sources().stream().map(Path::toString).collect(Collectors.toCollection(TreeSet::new)),
-        named);
+        listedPaths);
   }
 
   /**
-   * Returns all sources of the package but package-info.java. Its API, which other packages share,
-   * is in a subpackage.
+   * Returns the source files of the decision package except package-info.java. The API of the
+   * package, which other packages share, is in a subpackage and not included.
    */
   private static List<Path> sources() throws IOException {
-    try (Stream<Path> files = Files.list(DECISIONS)) {
+    try (Stream<Path> files = Files.list(DECISION_SOURCES)) {
       return files
           .filter(file -> file.toString().endsWith(".java"))
           .filter(file -> !file.endsWith("package-info.java"))
