--- a/src/main/java/loadbalancer/proxy/ActionExecutor.java
+++ b/src/main/java/loadbalancer/proxy/ActionExecutor.java
@@ -37,7 +37,7 @@
   private final InFlightRequests requests;
   private final RequestCompleter completer;
   private final AttemptRunner attempts;
-  private final HealthChecker healthChecks;
+  private final HealthChecker healthChecker;
   private final ConnectionPool pool;
   private final EndpointSource endpoints;
   private final GossipSender gossip;
@@ -51,7 +51,7 @@
       InFlightRequests requests,
       RequestCompleter completer,
       AttemptRunner attempts,
-      HealthChecker healthChecks,
+      HealthChecker healthChecker,
       ConnectionPool pool,
       EndpointSource endpoints,
       GossipSender gossip,
@@ -63,7 +63,7 @@
     this.requests = requests;
     this.completer = completer;
     this.attempts = attempts;
-    this.healthChecks = healthChecks;
+    this.healthChecker = healthChecker;
     this.pool = pool;
     this.endpoints = endpoints;
     this.gossip = gossip;
@@ -95,7 +95,7 @@
     } else if (action instanceof FetchEndpoints) {
       endpoints.fetch();
     } else if (action instanceof CheckHealth check) {
-      healthChecks.check(check.endpointId());
+      healthChecker.check(check.endpointId());
     } else if (action instanceof CloseIdleConnections close) {
       pool.closeIdle(close.endpointId());
     } else if (action instanceof SendGossip message) {
--- a/src/main/java/loadbalancer/proxy/AttemptGuard.java
+++ b/src/main/java/loadbalancer/proxy/AttemptGuard.java
@@ -11,10 +11,10 @@
 import loadbalancer.telemetry.RequestTrace;
 
 /**
- * The final check of every attempt, made immediately before its first byte is written. Since the
- * engine's decision the connection may have taken long to establish, and events may be queued that
- * the engine has not handled yet. It also checks, whatever the engine decides, that the client may
- * safely repeat a request that is rejected. Confined to the event loop.
+ * The final check of every attempt, made immediately before its first byte is written. After the
+ * engine's decision, the connection may have taken long to establish, and events may have been
+ * queued that the engine has not handled yet. It also checks, whatever the engine decides, that the
+ * client may safely repeat a request that is rejected. Confined to the event loop.
  */
 final class AttemptGuard {
 
@@ -31,10 +31,11 @@
   }
 
   /**
-   * Returns whether an attempt may be written now, and counts the reason if it may not.
+   * Returns whether an attempt may be written now. If it may not, counts the reason, and logs a
+   * violation if the engine should not have started the attempt.
    *
-   * @param writeDeadline clock reading at which the attempt's time or the dedup window of an
-   *     earlier attempt ends
+   * @param writeDeadline the attempt's deadline or the end of the dedup window of an earlier
+   *     attempt, whichever is first
    */
   boolean canWrite(ProxiedRequest request, ProxiedAttempt attempt, long writeDeadline) {
     AttemptRefusal refusal = refusal(request, attempt, writeDeadline);
--- a/src/main/java/loadbalancer/proxy/AttemptRunner.java
+++ b/src/main/java/loadbalancer/proxy/AttemptRunner.java
@@ -32,7 +32,7 @@
    * Creates a runner without attempts.
    *
    * @param maxAttempts maximum number of attempts of one request, including the first; further ones
-   *     are not sent
+   *     end as not sent
    */
   AttemptRunner(
       MonotonicClock clock,
@@ -142,7 +142,7 @@
     }
 
     @Override
-    public Event take() {
+    public Event resolve() {
       return deliverEnd(request, attempt, response, loadReport);
     }
 
--- a/src/main/java/loadbalancer/proxy/ClassArchiveTraining.java
+++ b/src/main/java/loadbalancer/proxy/ClassArchiveTraining.java
@@ -5,8 +5,8 @@
 import loadbalancer.telemetry.BackgroundLogHandler;
 
 /**
- * Run by the build to record the classes that a proxy loads: starts a proxy and shuts it down
- * again. With the class archive made from that record, a start need not read and verify each class,
+ * Starts a proxy and shuts it down again, so that the build can record the classes that a proxy
+ * loads. With the class archive made from that record, a start need not read and verify each class,
  * which otherwise takes most of a process's first second.
  */
 final class ClassArchiveTraining {
--- a/src/main/java/loadbalancer/proxy/ConfigurationFileWatcher.java
+++ b/src/main/java/loadbalancer/proxy/ConfigurationFileWatcher.java
@@ -14,8 +14,8 @@
 final class ConfigurationFileWatcher implements Runnable {
 
   /**
-   * Updates from a new discovery address apply 4 s after the configuration has changed; several
-   * checks fit into that time.
+   * Updates from a new discovery address have to apply within 4 s of the change of the file;
+   * several checks fit into that time.
    */
   private static final long CHECK_INTERVAL_MILLIS = 500;
 
@@ -23,7 +23,10 @@
   private final Runnable reload;
   private Version loadedVersion;
 
-  /** The attributes of a version of the file; null stands for a file that could not be read. */
+  /**
+   * The attributes that tell versions of the file apart; null stands for a file that could not be
+   * read.
+   */
   private record Version(long modifiedMillis, long size) {
 
     static Version of(Path file) {
--- a/src/main/java/loadbalancer/proxy/EngineRunner.java
+++ b/src/main/java/loadbalancer/proxy/EngineRunner.java
@@ -36,9 +36,9 @@
   private DecisionEngine engine;
 
   /**
-   * Creates the first engine.
+   * Creates a runner and its first engine.
    *
-   * @param engineFactory creates the engine of a generation, counted from 0
+   * @param engineFactory creates the n-th engine of the process, counted from 0
    * @param actions carries out the engine's actions
    */
   EngineRunner(
@@ -63,7 +63,10 @@
     engine = engineFactory.apply(events.engineGeneration());
   }
 
-  /** Passes an event to the engine and carries out the resulting actions. */
+  /**
+   * Passes an event to the engine and carries out the resulting actions. Replaces the engine if it
+   * throws, and removes the request of the event if it is finished.
+   */
   @Override
   public void accept(Event event) {
     try {
@@ -72,10 +75,10 @@
       LOG.log(Level.SEVERE, "engine_failed event=" + event.getClass().getSimpleName(), e);
       recover(event);
     }
-    if (event instanceof AttemptEnded ended) {
-      requests.removeIfFinished(ended.requestId());
-    } else if (event instanceof ClientDisconnected disconnected) {
-      requests.removeIfFinished(disconnected.requestId());
+    if (event instanceof AttemptEnded end) {
+      requests.removeIfFinished(end.requestId());
+    } else if (event instanceof ClientDisconnected disconnection) {
+      requests.removeIfFinished(disconnection.requestId());
     }
   }
 
@@ -94,7 +97,7 @@
     if (failedEvent instanceof EndpointListUpdate update && update.kind() == UpdateKind.CACHED) {
       LOG.severe("engine_start_failed process=ends");
       completer.failAll();
-      // In a later turn of the event loop, after the responses have been written.
+      // The process ends in a later turn of the event loop, when the responses have been written.
       loop.execute(EngineRunner::endProcess);
       return;
     }
--- a/src/main/java/loadbalancer/proxy/EventQueue.java
+++ b/src/main/java/loadbalancer/proxy/EventQueue.java
@@ -19,8 +19,11 @@
   @FunctionalInterface
   interface PendingEvent {
 
-    /** Returns the event when it is due for delivery; null if it no longer applies. */
-    Event take();
+    /**
+     * Returns the event to deliver; null if it no longer applies. Called once, right before the
+     * delivery.
+     */
+    Event resolve();
 
     /** Releases the resources of an event that will not be delivered. */
     default void discard() {}
@@ -69,7 +72,7 @@
   private void deliver() {
     isDeliveryScheduled = false;
     for (PendingEvent next = pending.poll(); next != null; next = pending.poll()) {
-      Event event = next.take();
+      Event event = next.resolve();
       if (event != null) {
         receiver.accept(event);
       }
--- a/src/main/java/loadbalancer/proxy/GracefulShutdown.java
+++ b/src/main/java/loadbalancer/proxy/GracefulShutdown.java
@@ -16,9 +16,9 @@
  *   <li>At 0, health checks start to fail, while connections and requests are still accepted.
  *   <li>From {@link #ACCEPT_MILLIS} on, the listener closes as soon as no connection waits in the
  *       kernel's queue.
- *   <li>At {@link #serveMillis}, idle connections close, and from then on a response with no
- *       request behind it closes its connection. The shutdown is complete as soon as the listener
- *       is closed and no connection is left.
+ *   <li>At {@link #serveMillis}, idle connections close, and from then on a response closes its
+ *       connection unless another request has arrived on it. The shutdown is complete as soon as
+ *       the listener is closed and no connection is left.
  *   <li>At {@link #expiryMillis}, every request that is still in flight or incomplete gets its
  *       final response.
  *   <li>{@link #FLUSH_MILLIS} after that, the shutdown is complete in any case.
@@ -36,9 +36,8 @@
   private static final long ACCEPT_MILLIS = 550;
 
   /**
-   * Clients keep using their open connections, and other instances may be down at the same time.
-   * These connections are served for as long as there is time left to complete the requests that
-   * are then in flight.
+   * Maximum time for which open connections are served. Clients keep using them, and other
+   * instances may be down at the same time; enough time is left to complete the requests in flight.
    */
   private static final long MAX_SERVE_MILLIS = 2200;
 
@@ -55,8 +54,8 @@
   private static final long MAX_DEADLINE_MILLIS = 3000;
 
   /**
-   * Time between the expiry and SIGKILL, as the event loop may lag. Requests from before SIGTERM
-   * have reached their deadlines by the expiry, up to {@link #MAX_DEADLINE_MILLIS}.
+   * Time between the expiry and SIGKILL, which allows for event loop lag. By the expiry, requests
+   * that arrived before SIGTERM have reached their deadlines, up to {@link #MAX_DEADLINE_MILLIS}.
    */
   private static final long KILL_MARGIN_MILLIS = 600;
 
@@ -93,8 +92,8 @@
 
   /**
    * Returns the time after SIGTERM at which every request in flight gets its final response: {@link
-   * #KILL_MARGIN_MILLIS} before SIGKILL, but not before {@link #ACCEPT_MILLIS}. SIGKILL comes the
-   * earlier, the shorter the deadlines are.
+   * #KILL_MARGIN_MILLIS} before SIGKILL, but not before {@link #ACCEPT_MILLIS}. SIGKILL follows the
+   * longest deadline, so it comes earlier if the deadlines are shorter.
    */
   static long expiryMillis(Settings settings) {
     long longestNanos = 0;
--- a/src/main/java/loadbalancer/proxy/InFlightRequests.java
+++ b/src/main/java/loadbalancer/proxy/InFlightRequests.java
@@ -42,7 +42,9 @@
     return byId.size();
   }
 
-  /** Returns a copy, so that requests may be removed while it is iterated over. */
+  /**
+   * Returns a copy of the requests in flight, so that requests may be removed during an iteration.
+   */
   List<ProxiedRequest> all() {
     return List.copyOf(byId.values());
   }
--- a/src/main/java/loadbalancer/proxy/Latches.java
+++ b/src/main/java/loadbalancer/proxy/Latches.java
@@ -16,7 +16,10 @@
     await(latch, Long.MAX_VALUE);
   }
 
-  /** Blocks likewise for a limited time, and returns whether the latch has reached zero. */
+  /**
+   * Blocks until the latch reaches zero, the time has passed or the thread is interrupted, and
+   * keeps the interrupt status. Returns whether the latch has reached zero.
+   */
   static boolean await(CountDownLatch latch, long nanos) {
     try {
       return latch.await(nanos, TimeUnit.NANOSECONDS);
--- a/src/main/java/loadbalancer/proxy/ProxiedAttempt.java
+++ b/src/main/java/loadbalancer/proxy/ProxiedAttempt.java
@@ -14,7 +14,9 @@
   private long latencyNanos;
 
   /**
-   * Creates the attempt with an index within its request, from 0; {@link #setCall} has to follow.
+   * Creates an attempt without a call, which {@link #setCall} must set.
+   *
+   * @param index number of the attempt within its request, counted from 0
    */
   ProxiedAttempt(int index, long startedAtNanos) {
     this.index = index;
@@ -40,8 +42,11 @@
     return call;
   }
 
-  /** Returns whether a successful response has arrived or may still arrive. */
-  boolean mayGetResponse() {
+  /**
+   * Returns whether the attempt has been written and a successful response to it has arrived or may
+   * still arrive.
+   */
+  boolean mayGetUpstreamResponse() {
     return status == null ? call.isWritten() : status == AttemptStatus.SUCCESS;
   }
 
--- a/src/main/java/loadbalancer/proxy/ProxiedRequest.java
+++ b/src/main/java/loadbalancer/proxy/ProxiedRequest.java
@@ -27,7 +27,7 @@
   private boolean isCompleted;
 
   /**
-   * Creates a request in flight, which takes over the received message.
+   * Creates a request in flight, which takes ownership of the received message.
    *
    * @param id identifies the request to the decision engine, as clients may reuse trace ids
    */
@@ -154,10 +154,13 @@
     downstream.responseSink().respond(status, retryAfterNanos, contentType, content);
   }
 
-  /** Returns whether a successful response to any attempt has arrived or may still arrive. */
-  boolean mayGetResponse() {
+  /**
+   * Returns whether a successful response to an attempt that has been written has arrived or may
+   * still arrive.
+   */
+  boolean mayGetUpstreamResponse() {
     for (ProxiedAttempt attempt : attempts) {
-      if (attempt.mayGetResponse()) {
+      if (attempt.mayGetUpstreamResponse()) {
         return true;
       }
     }
@@ -180,8 +183,9 @@
   }
 
   /**
-   * Returns the clock reading until which a further attempt may be written. Endpoints recognise a
-   * repeated request by its idempotency key for a limited time only, and may have run it already.
+   * Returns the clock reading at which the first dedup window of an attempt that may have run or
+   * may still run ends; {@link Long#MAX_VALUE} if there is none. After it, an endpoint no longer
+   * recognises a repeated request by its idempotency key, and could run it twice.
    */
   long dedupDeadlineNanos() {
     long deadline = Long.MAX_VALUE;
--- a/src/main/java/loadbalancer/proxy/ProxyComponents.java
+++ b/src/main/java/loadbalancer/proxy/ProxyComponents.java
@@ -70,8 +70,9 @@
     }
 
     /**
-     * Sets how connections to upstreams are opened; mandatory.
+     * Sets the properties of upstreams; must be called before {@link #build}.
      *
+     * @param bootstrap opens connections to upstreams
      * @param idleNanos time after which an upstream may close an idle connection
      * @param loadReports whether upstreams send load reports
      */
@@ -146,7 +147,7 @@
               events,
               guard,
               trace);
-      HealthChecker healthChecks = new HealthChecker(clock, loadReports, directory, pool, events);
+      HealthChecker healthChecker = new HealthChecker(clock, loadReports, directory, pool, events);
       ActionExecutor actions =
           new ActionExecutor(
               loop,
@@ -154,7 +155,7 @@
               requests,
               completer,
               runner,
-              healthChecks,
+              healthChecker,
               pool,
               endpointSource,
               gossip,
--- a/src/main/java/loadbalancer/proxy/ProxyServer.java
+++ b/src/main/java/loadbalancer/proxy/ProxyServer.java
@@ -24,8 +24,8 @@
 import loadbalancer.upstream.UpstreamChannel;
 
 /**
- * One proxy process, from its start to its shutdown: owns the event loop, and wires the components
- * together on it. Except where noted, its methods must not be called on the event loop.
+ * One proxy process, from its start to its shutdown: owns the event loop and creates the components
+ * that run on it. Except where noted, its methods must not be called on the event loop.
  */
 public final class ProxyServer {
 
@@ -44,7 +44,8 @@
   private static final int BODY_MEMORY_DIVISOR = 16;
 
   /**
-   * Maximum wait for discovery at the start; serving with an old list is better than not serving.
+   * Maximum wait for discovery at the start. After it, the proxy serves with the list in the
+   * configuration: an outdated list is better than none.
    */
   private static final long DISCOVERY_WAIT_MILLIS = 2000;
 
@@ -75,8 +76,8 @@
   }
 
   /**
-   * Performs the steps of a start that precede {@link #listen}. Until then, no client can connect,
-   * so none is owed a response.
+   * Performs the steps of a start that precede {@link #listen}. No client can connect before that,
+   * so a failed start leaves no request without a response.
    */
   public static ProxyServer prepare(BalancerConfig config) throws IOException {
     return prepare(
@@ -86,19 +87,19 @@
   }
 
   /**
-   * Performs the same steps with another decision engine. Waits for discovery's first update,
-   * because discovery's list applies from the start of the process on, and the one in the
-   * configuration may be older.
+   * Performs the steps of a start that precede {@link #listen}, with the given decision engine.
+   * Waits for discovery's first update, because discovery's list applies from the start of the
+   * process on, and the one in the configuration may be older.
    *
    * @param engineFactory creates the n-th engine of the process, counted from 0
-   * @param discoveryWaitMillis maximum wait for that update
+   * @param discoveryWaitMillis maximum wait for the first update
    */
   public static ProxyServer prepare(
       BalancerConfig config, LongFunction<DecisionEngine> engineFactory, long discoveryWaitMillis)
       throws IOException {
     ProxyServer server = new ProxyServer(config);
     try {
-      server.loop.submit(() -> server.wire(engineFactory)).syncUninterruptibly();
+      server.loop.submit(() -> server.createComponents(engineFactory)).syncUninterruptibly();
       long waitDeadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(discoveryWaitMillis);
       WarmUp.run(config.settings());
       if (!server.discovery.awaitFirstUpdate(waitDeadline - System.nanoTime())) {
@@ -111,8 +112,11 @@
     return server;
   }
 
-  /** Runs on the event loop. */
-  private void wire(LongFunction<DecisionEngine> engineFactory) {
+  /**
+   * Creates and connects the components, applies the configured endpoint list and starts discovery.
+   * Must be called on the event loop.
+   */
+  private void createComponents(LongFunction<DecisionEngine> engineFactory) {
     ProxyComponents.Builder builder =
         new ProxyComponents.Builder(loop, config.settings(), engineFactory);
     Bootstrap upstreams = upstreamBootstrap(group);
--- a/src/main/java/loadbalancer/proxy/RequestCompleter.java
+++ b/src/main/java/loadbalancer/proxy/RequestCompleter.java
@@ -58,17 +58,17 @@
   }
 
   /**
-   * Completes a request with this status and tells the engine to drop it; a no-op if it is
-   * completed.
+   * Completes a request with this status and notifies the engine that it needs no response any
+   * more; a no-op if it is completed.
    */
   void fail(ProxiedRequest request, HttpResponseStatus status) {
     if (!request.isCompleted()) {
       respond(request, status, 0);
-      clientDisconnected(request);
+      completeAndNotifyEngine(request);
     }
   }
 
-  /** Completes all requests in flight that have no response, with status 500. */
+  /** Completes, with status 500, all requests in flight that are not completed yet. */
   void failAll() {
     for (ProxiedRequest request : requests.all()) {
       fail(request, HttpResponseStatus.INTERNAL_SERVER_ERROR);
@@ -76,10 +76,10 @@
   }
 
   /**
-   * Completes a request without a response, unless it is completed, and notifies the engine that
-   * none is owed any more.
+   * Completes a request without a response, unless it is completed already, and notifies the engine
+   * that it needs no response any more.
    */
-  void clientDisconnected(ProxiedRequest request) {
+  void completeAndNotifyEngine(ProxiedRequest request) {
     request.complete();
     events.enqueue(() -> requests.contains(request) ? new ClientDisconnected(request.id()) : null);
   }
--- a/src/main/java/loadbalancer/proxy/RequestDispatcher.java
+++ b/src/main/java/loadbalancer/proxy/RequestDispatcher.java
@@ -81,7 +81,7 @@
 
   @Override
   public void clientDisconnected(String traceId) {
-    completer.clientDisconnected(requests.findByTraceId(traceId));
+    completer.completeAndNotifyEngine(requests.findByTraceId(traceId));
   }
 
   /**
@@ -96,7 +96,7 @@
       return;
     }
     request.markClientHalfClosed();
-    if (!request.mayGetResponse()) {
+    if (!request.mayGetUpstreamResponse()) {
       completeUnserved(request);
     }
   }
@@ -111,7 +111,7 @@
 
   private void completeUnserved(ProxiedRequest request) {
     completer.respondUnserved(request);
-    completer.clientDisconnected(request);
+    completer.completeAndNotifyEngine(request);
     attempts.cancelAll(request);
   }
 
@@ -127,8 +127,8 @@
     }
     EndpointListUpdate update = directory.apply(kind, list);
     events.enqueue(() -> update);
-    // After the update event, so that the engine knows why attempts that were connecting end
-    // without having been sent.
+    // The update event is queued first, so that the engine knows why attempts that were connecting
+    // end without having been sent.
     pool.withdraw(endpointId -> !directory.isReady(endpointId));
     // Idle connections to the previous process are unusable; if its machine has failed, they have
     // not even been closed.
--- a/src/main/java/loadbalancer/proxy/ServeCommand.java
+++ b/src/main/java/loadbalancer/proxy/ServeCommand.java
@@ -51,9 +51,9 @@
   }
 
   private int run() {
-    // Signal handlers instead of shutdown hooks: hooks run concurrently with the one that closes
-    // the log, and the exit status would be that of the signal. Without a handler SIGHUP would end
-    // the process; a SIGHUP that arrives early takes effect once the proxy is listening.
+    // Shutdown hooks are not used: they would run concurrently with the one that closes the log,
+    // and the exit status would be that of the signal. Without a handler SIGHUP would end the
+    // process; a SIGHUP that arrives early takes effect once the proxy is listening.
     Signal.handle(new Signal("TERM"), signal -> terminate());
     SignalHandler previous =
         Signal.handle(new Signal("HUP"), signal -> listeningServer.thenAccept(this::reload));
--- a/src/main/java/loadbalancer/proxy/TransientFailures.java
+++ b/src/main/java/loadbalancer/proxy/TransientFailures.java
@@ -17,7 +17,7 @@
 
   private static final Logger LOG = Logger.getLogger(TransientFailures.class.getName());
 
-  /** Failures are reported after this time, so that an operator can look into them. */
+  /** Time after which a failure that persists is thrown, so that an operator learns of it. */
   private static final long MAX_RETRY_MILLIS = 3000;
 
   private static final long RETRY_INTERVAL_MILLIS = 20;
--- a/src/main/java/loadbalancer/proxy/UpstreamRequestFactory.java
+++ b/src/main/java/loadbalancer/proxy/UpstreamRequestFactory.java
@@ -54,7 +54,7 @@
   }
 
   /**
-   * Removes the standard hop-by-hop headers, and those that the received {@code Connection} headers
+   * Removes the {@link #HOP_BY_HOP} headers, and those that the received {@code Connection} headers
    * name.
    */
   private static void removeHopByHop(HttpHeaders headers, HttpHeaders received) {
--- a/src/main/java/loadbalancer/proxy/WarmUp.java
+++ b/src/main/java/loadbalancer/proxy/WarmUp.java
@@ -45,7 +45,7 @@
  * <p>With a fraction of a core, a proxy whose code is still interpreted is itself the bottleneck,
  * and its own delay looks like that of slow endpoints. The warm-up is limited by the number of
  * requests rather than by time, because a fraction of a core would serve too few in a fixed time.
- * When a start is urgent, clients wait for the whole warm-up.
+ * Clients that depend on this start have to wait for the whole warm-up.
  */
 final class WarmUp {
 
@@ -68,9 +68,9 @@
   private static final double TRAFFIC_SECONDS = 0.6;
 
   /**
-   * Number of connections that send requests at the same time, as in service. For a single one, the
-   * upstream connection of the last request would not be reusable yet, and a new one would be
-   * opened each time.
+   * Number of connections that send requests at the same time, as in service. With a single one,
+   * the upstream connection of the previous request would not be reusable yet, and each request
+   * would open a new one.
    */
   private static final int CLIENT_CONNECTIONS = 16;
 
@@ -101,8 +101,8 @@
   }
 
   /**
-   * Returns the number of requests to serve: {@link #MAX_REQUESTS} if the settings have no quotas,
-   * from which the expected traffic follows.
+   * Returns the number of requests to serve. It depends on the expected traffic, which follows from
+   * the tenants' quotas; without quotas it is {@link #MAX_REQUESTS}.
    */
   static int requestCount(Settings settings) {
     double totalQuota = 0;
@@ -114,7 +114,7 @@
     return (int) Math.max(MIN_REQUESTS, Math.min(MAX_REQUESTS, expectedRequests));
   }
 
-  /** Runs the warm-up with another time limit. */
+  /** Runs the warm-up for at most the given time and returns its result. */
   static Result run(Settings settings, long maxMillis) {
     EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, LocalIoHandler.newFactory());
     Promise<Void> done = group.next().newPromise();
--- a/src/main/java/loadbalancer/proxy/WarmUpClient.java
+++ b/src/main/java/loadbalancer/proxy/WarmUpClient.java
@@ -20,7 +20,7 @@
 
 /**
  * The client side of the warm-up: sends the next request on a connection when the response to the
- * last one has arrived. Shared by all connections, which are on one event loop.
+ * previous one has arrived. Shared by all connections, which are on one event loop.
  */
 @Sharable
 final class WarmUpClient extends SimpleChannelInboundHandler<FullHttpResponse> {
--- a/src/test/java/loadbalancer/proxy/AgentWatchTest.java
+++ b/src/test/java/loadbalancer/proxy/AgentWatchTest.java
@@ -28,16 +28,16 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Pushed endpoint lists: a change applies as soon as the local agent knows of it, whether or not a
- * watch is open.
+ * Pushed endpoint lists: the time limit for applying a change begins when the local agent knows of
+ * it, whether or not a watch is open.
  */
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
-@SuppressWarnings("try") // The proxy only has to run in the meantime.
+@SuppressWarnings("try") // The proxy is not accessed; it only has to run.
 class AgentWatchTest {
 
   private static final long GRACE_MILLIS = 300;
 
-  /** Added to each time limit on real sockets. */
+  /** Added to each time limit, because real sockets and threads cause delays. */
   private static final long TOLERANCE_MILLIS = 50;
 
   private static BalancerConfig pushedConfig(FakeServer discovery, String... members)
@@ -126,7 +126,7 @@
    * drain grace period.
    */
   @Test
-  void waitsLessThanADrainsGraceBetweenCalls() throws Exception {
+  void waitsLessThanTheDrainGraceBetweenCalls() throws Exception {
     AtomicInteger watchCount = new AtomicInteger();
     AtomicLong lastCallAt = new AtomicLong();
     AtomicLong longestDelay = new AtomicLong();
@@ -153,8 +153,8 @@
   }
 
   /**
-   * Returns a discovery whose first watch lists two endpoints and ends without an update. Every
-   * later watch lists only the first of them.
+   * Returns a discovery agent whose first watch lists two endpoints and ends without an update.
+   * Every later watch lists only the first of them.
    */
   private static FakeServer discoveryOmitting(
       String remainingMember, String omittedMember, CountDownLatch endFirstWatch)
--- a/src/test/java/loadbalancer/proxy/AttemptEndOrderTest.java
+++ b/src/test/java/loadbalancer/proxy/AttemptEndOrderTest.java
@@ -33,7 +33,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Two outcomes of an attempt in one turn of the event loop, in each order, and restarts of upstream
+ * Attempts with two outcomes in one turn of the event loop, in each order, and restarts of upstream
  * processes.
  */
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
@@ -46,8 +46,8 @@
   private final EventLoopStepQueue steps = new EventLoopStepQueue();
 
   /**
-   * An upstream that runs a script on command for each request; the script has run when {@link
-   * #run} returns.
+   * An upstream that handles each request by a script that the test passes to {@link #run}, which
+   * returns once the script has run.
    */
   private static final class ControlledUpstream implements AutoCloseable {
     private final BlockingQueue<FakeServer.Script> scripts = new LinkedBlockingQueue<>();
@@ -126,7 +126,7 @@
   private void addSteps(OutcomePair outcomes, ControlledUpstream upstream, Client secondTrigger) {
     switch (outcomes) {
       case CANCEL_THEN_RESPONSE, CANCEL_THEN_RESET ->
-          // Cancelled while the response or reset is in the kernel and has not been read.
+          // The attempt is cancelled while the response or reset is unread in the kernel.
           steps.add(
               actions -> {
                 upstream.run(outcomes.upstream);
@@ -214,8 +214,8 @@
   }
 
   /**
-   * The whole request was sent, and all but its last byte was read: unlike one that never
-   * connected, it may have run.
+   * The whole request is sent, and the upstream resets the connection after reading all but the
+   * last byte. Unlike a request whose connection was not established, it may have run.
    */
   @Test
   void reportsAResetBeforeTheLastByteWasReadAsReset() throws Exception {
@@ -255,7 +255,8 @@
   }
 
   /**
-   * Returns a discovery that reports the upstream's restart.
+   * Returns a discovery server that reports the upstream's restart in two updates, once {@code
+   * restarted} reaches zero.
    *
    * @param newName the upstream's name after the restart
    * @param firstState state of {@code s-1} in the first update: gone, or ready after a restart
@@ -313,7 +314,7 @@
                 ProxyFixture.config(discovery.address(), endpointList(upstream)), engine);
         Client client = proxy.client()) {
       assertTrue(client.exchange(ProxyFixture.get("t1", "")).endsWith("\r\n\r\nbefore"));
-      EventLoopStepQueue.sleep(50); // The connection is reusable by then.
+      EventLoopStepQueue.sleep(50); // The upstream connection is reusable by then.
       restarted.countDown();
       for (UpdateKind kind : List.of(UpdateKind.CACHED, UpdateKind.DELTA, UpdateKind.DELTA)) {
         assertEquals(kind, engine.awaitEvent(EndpointListUpdate.class).kind());
--- a/src/test/java/loadbalancer/proxy/BrokenConnectionTest.java
+++ b/src/test/java/loadbalancer/proxy/BrokenConnectionTest.java
@@ -44,8 +44,8 @@
   }
 
   /**
-   * A reset does not end a response, not even one without a length: no part of it reaches the
-   * client as a complete response.
+   * A reset is not the end of a response, not even of one without a length: the part before it must
+   * not reach the client as a complete response.
    */
   @ParameterizedTest
   @ValueSource(
@@ -110,7 +110,7 @@
         ProxyFixture proxy = new ProxyFixture(singleEndpointConfig(upstream), engine);
         Client client = proxy.client()) {
       assertTrue(client.exchange(ProxyFixture.get("t1", "")).startsWith("HTTP/1.1 200 "));
-      Thread.sleep(50); // The connection is reusable by then.
+      Thread.sleep(50); // The upstream connection is reusable by then.
       FakeServer.Connection idleConnection = upstream.connections.take();
       resetAllowed.countDown();
       assertTrue(idleConnection.awaitScriptEnd());
--- a/src/test/java/loadbalancer/proxy/ClientFloodTest.java
+++ b/src/test/java/loadbalancer/proxy/ClientFloodTest.java
@@ -179,7 +179,7 @@
 
   /**
    * Pipelined requests are held in memory as a whole while they wait for their turn. Without a
-   * limit, many such clients would exhaust the memory of the process.
+   * limit, many clients that pipeline requests would exhaust the memory of the process.
    */
   @Test
   void countsTheHeadsOfPipelinedRequestsAgainstTheMemory() throws Exception {
@@ -207,7 +207,7 @@
                 "t" + i,
                 "X-Long: " + "x".repeat(7000) + "\r\n" + (i < sent - 1 ? "" : CLOSE_HEADER)));
       }
-      client.write(requests.toString()); // All of it is read, even what is not held.
+      client.write(requests.toString()); // The proxy reads all of it, also what it cannot hold.
       // The loop reads all sockets before each response: in the end it has read all that was sent.
       for (int i = 0; i < 20; i++) {
         other.exchange(HEALTH_REQUEST);
--- a/src/test/java/loadbalancer/proxy/ConnectionCloseTest.java
+++ b/src/test/java/loadbalancer/proxy/ConnectionCloseTest.java
@@ -57,7 +57,7 @@
 
   /**
    * Input that is unread when the last response of a connection is written does not become a
-   * request, as no response to it could be sent. The same goes for a complete request behind one
+   * request, as no response to it could be sent. The same applies to a complete request behind one
    * that asked for the close.
    */
   @ParameterizedTest
@@ -72,12 +72,12 @@
     ScriptedEngine engine =
         new ScriptedEngine(
             (event, out) -> {
-              if (event instanceof RequestArrived arrived) {
+              if (event instanceof RequestArrived request) {
                 if (!closeRequestedByClient) {
                   started.get().server.listener().closeIdleConnections();
                 }
                 write(requestingClient.get(), unreadInput);
-                out.accept(new RejectRequest(arrived.requestId(), 0));
+                out.accept(new RejectRequest(request.requestId(), 0));
               }
             });
     try (ProxyFixture proxy =
@@ -111,12 +111,12 @@
     ScriptedEngine engine =
         new ScriptedEngine(
             (event, out) -> {
-              if (event instanceof RequestArrived arrived) {
+              if (event instanceof RequestArrived request) {
                 if (requestingClient.get() != null) {
                   started.get().server.listener().closeIdleConnections();
                   write(requestingClient.getAndSet(null), ProxyFixture.get("unread", ""));
                 }
-                out.accept(new RejectRequest(arrived.requestId(), 0));
+                out.accept(new RejectRequest(request.requestId(), 0));
               }
             });
     try (ProxyFixture proxy =
@@ -143,14 +143,14 @@
       Socket client, AtomicReference<ProxyFixture> started, boolean closeRequestedByClient) {
     return new ScriptedEngine(
         (event, out) -> {
-          if (event instanceof RequestArrived arrived) {
+          if (event instanceof RequestArrived request) {
             if (!closeRequestedByClient) {
               started.get().server.listener().closeIdleConnections();
             }
             out.accept(
                 new StartAttempt(
-                    arrived.requestId(), DiscoveryMessages.endpointId("s-1"), LONG_TIMEOUT_NANOS));
-          } else if (event instanceof AttemptEnded ended && ended.isRequestAnswered()) {
+                    request.requestId(), DiscoveryMessages.endpointId("s-1"), LONG_TIMEOUT_NANOS));
+          } else if (event instanceof AttemptEnded end && end.isRequestAnswered()) {
             // In the turn in which the response was written, and after the write.
             try {
               client.getOutputStream().write("GET /api HT".getBytes(StandardCharsets.ISO_8859_1));
@@ -230,7 +230,7 @@
     List<String> held = new ArrayList<>();
     return new ScriptedEngine(
         (event, out) -> {
-          if (event instanceof RequestArrived arrived && arrived.workHintNanos() > 0) {
+          if (event instanceof RequestArrived request && request.workHintNanos() > 0) {
             trigger.countDown();
             try {
               assertTrue(done.await(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS));
@@ -240,15 +240,15 @@
             out.accept(
                 new StartAttempt(
                     held.get(0), DiscoveryMessages.endpointId("s-1"), LONG_TIMEOUT_NANOS));
-            out.accept(new RejectRequest(arrived.requestId(), 0));
-          } else if (event instanceof RequestArrived arrived && arrived.tenant() != null) {
-            held.add(arrived.requestId());
-          } else if (event instanceof RequestArrived arrived) {
+            out.accept(new RejectRequest(request.requestId(), 0));
+          } else if (event instanceof RequestArrived request && request.tenant() != null) {
+            held.add(request.requestId());
+          } else if (event instanceof RequestArrived request) {
             out.accept(
                 new StartAttempt(
-                    arrived.requestId(), DiscoveryMessages.endpointId("s-1"), LONG_TIMEOUT_NANOS));
-          } else if (event instanceof AttemptEnded ended && !ended.isRequestAnswered()) {
-            out.accept(new FailRequest(ended.requestId()));
+                    request.requestId(), DiscoveryMessages.endpointId("s-1"), LONG_TIMEOUT_NANOS));
+          } else if (event instanceof AttemptEnded end && !end.isRequestAnswered()) {
+            out.accept(new FailRequest(end.requestId()));
           }
         });
   }
@@ -297,7 +297,7 @@
       engine.awaitEvent(AttemptEnded.class);
       client.write(ProxyFixture.get("t2", "X-Customer: held\r\n"));
       engine.awaitEvent(RequestArrived.class);
-      Thread.sleep(50); // The connection is reusable by then.
+      Thread.sleep(50); // The upstream connection is reusable by then.
       assertTrue(
           other.exchange(ProxyFixture.get("trigger", TRIGGER_HEADER)).startsWith("HTTP/1.1 429 "));
       assertEquals(AttemptStatus.SUCCESS, engine.awaitEvent(AttemptEnded.class).status());
@@ -316,8 +316,8 @@
       CompletableFuture<Client> accepted) {
     return new ScriptedEngine(
         (event, out) -> {
-          if (event instanceof RequestArrived arrived) {
-            if (arrived.workHintNanos() > 0) {
+          if (event instanceof RequestArrived request) {
+            if (request.workHintNanos() > 0) {
               write(unread.get(), ProxyFixture.get("unread", ""));
               try {
                 accepted.complete(started.get().client());
@@ -326,7 +326,7 @@
               }
               started.get().server.listener().stopAccepting(); // Accepts pending connections.
             }
-            out.accept(new RejectRequest(arrived.requestId(), 0));
+            out.accept(new RejectRequest(request.requestId(), 0));
           }
         });
   }
@@ -337,7 +337,7 @@
    */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void doesNotShedAConnectionWithAnUnreadRequest(boolean servedBefore) throws Exception {
+  void doesNotCloseAConnectionWithAnUnreadRequest(boolean servedBefore) throws Exception {
     AtomicReference<ProxyFixture> started = new AtomicReference<>();
     AtomicReference<Client> unreadClient = new AtomicReference<>();
     CompletableFuture<Client> accepted = new CompletableFuture<>();
@@ -378,8 +378,8 @@
     ScriptedEngine engine =
         new ScriptedEngine(
             (event, out) -> {
-              if (event instanceof RequestArrived arrived) {
-                out.accept(new RejectRequest(arrived.requestId(), 0));
+              if (event instanceof RequestArrived request) {
+                out.accept(new RejectRequest(request.requestId(), 0));
               }
             });
     try (ProxyFixture proxy =
--- a/src/test/java/loadbalancer/proxy/EventQueueTest.java
+++ b/src/test/java/loadbalancer/proxy/EventQueueTest.java
@@ -13,10 +13,10 @@
 class EventQueueTest {
 
   /** An event that records whether it was delivered or discarded. */
-  private record RecordedEvent(String name, List<String> log) implements EventQueue.PendingEvent {
+  private record RecordingEvent(String name, List<String> log) implements EventQueue.PendingEvent {
     @Override
-    public Event take() {
-      log.add(name + " taken");
+    public Event resolve() {
+      log.add(name + " delivered");
       return new TimerFired(name);
     }
 
@@ -26,17 +26,20 @@
     }
   }
 
-  /** Queued events may hold responses of endpoints in buffers, whose memory is limited. */
+  /**
+   * A queued event may hold the buffer of a response, which must be released because buffer memory
+   * is limited.
+   */
   @Test
   void discardsTheEventsThatAFailedEngineHasNotBeenGiven() {
     EmbeddedChannel channel = new EmbeddedChannel();
     List<String> log = new ArrayList<>();
     EventQueue queue = new EventQueue(channel.eventLoop());
     queue.deliverTo(event -> queue.startNextGeneration());
-    queue.enqueue(new RecordedEvent("first", log));
-    queue.enqueue(new RecordedEvent("second", log));
-    queue.enqueue(new RecordedEvent("third", log));
+    queue.enqueue(new RecordingEvent("first", log));
+    queue.enqueue(new RecordingEvent("second", log));
+    queue.enqueue(new RecordingEvent("third", log));
     channel.runPendingTasks();
-    assertEquals(List.of("first taken", "second discarded", "third discarded"), log);
+    assertEquals(List.of("first delivered", "second discarded", "third discarded"), log);
   }
 }
--- a/src/test/java/loadbalancer/proxy/FragmentedMessageTest.java
+++ b/src/test/java/loadbalancer/proxy/FragmentedMessageTest.java
@@ -88,8 +88,8 @@
   }
 
   /**
-   * Nothing follows that segment: the attempt ends at once, instead of letting the client wait
-   * until its timeout.
+   * Nothing follows a segment with an informational response and the start of the final one: the
+   * attempt ends at once, instead of letting the client wait until its timeout.
    */
   @ParameterizedTest
   @ValueSource(
--- a/src/test/java/loadbalancer/proxy/GracefulShutdownTest.java
+++ b/src/test/java/loadbalancer/proxy/GracefulShutdownTest.java
@@ -138,7 +138,7 @@
     };
 
     /**
-     * Runs on the event loop.
+     * Performs the operation on the event loop.
      *
      * @param open a client that has not sent anything
      * @return the client whose request is unread
@@ -184,11 +184,11 @@
   }
 
   /**
-   * The event loop is blocked right before it completes all requests in flight, and still does so
-   * before the earliest SIGKILL.
+   * The event loop is blocked right before the expiry, and must still complete all requests in
+   * flight before the earliest SIGKILL.
    */
   @Test
-  void completesAllRequestsBeforeSigkillWhenTheEventLoopIsHeldUp() throws Exception {
+  void completesAllRequestsBeforeSigkillWhenTheEventLoopIsBlocked() throws Exception {
     long deadlineMillis = 300;
     BalancerConfig config = config(deadlineMillis);
     ScriptedEngine engine =
@@ -196,7 +196,7 @@
             (event, actions) -> {
               if (event instanceof RequestArrived request && request.workHintNanos() > 0) {
                 try {
-                  Thread.sleep(450); // The elapsed time is what is tested.
+                  Thread.sleep(450); // The test depends on the elapsed time.
                 } catch (InterruptedException e) {
                   Thread.currentThread().interrupt();
                 }
@@ -230,7 +230,7 @@
    * that, even if the longest deadline is 0.3 s.
    */
   @Test
-  void acceptsNewConnectionsForAsLongWhereDeadlinesAreShort() throws Exception {
+  void acceptsNewConnectionsEvenIfDeadlinesAreShort() throws Exception {
     ScriptedEngine engine =
         new ScriptedEngine(
             (event, actions) -> {
@@ -240,7 +240,7 @@
             });
     try (ProxyFixture proxy = new ProxyFixture(config(300), engine)) {
       Thread shutdown = startShutdown(proxy);
-      Thread.sleep(400); // The elapsed time is what is tested.
+      Thread.sleep(400); // The test depends on the elapsed time.
       try (Client late = proxy.client()) {
         assertTrue(late.exchange(ProxyFixture.get("t", "")).startsWith("HTTP/1.1 429 "));
       }
--- a/src/test/java/loadbalancer/proxy/LargeFleetIT.java
+++ b/src/test/java/loadbalancer/proxy/LargeFleetIT.java
@@ -112,7 +112,7 @@
         .collect(Collectors.joining(",", "\"peers\":[", "],"));
   }
 
-  /** Discovery's lists are indented over many lines. */
+  /** Discovery's lists are indented, so that each spans many lines. */
   @Test
   void servesAThousandEndpointsAndInstancesInTheLeastMemory() throws Exception {
     CountDownLatch listChanged = new CountDownLatch(1);
@@ -167,7 +167,8 @@
   }
 
   /**
-   * Returns a discovery that resets every connection until it is up, and then lists one endpoint.
+   * Returns a discovery server that resets every connection until it is up, and then lists one
+   * endpoint.
    */
   private static FakeServer discovery(AtomicBoolean isUp, FakeServer listed) throws IOException {
     return new FakeServer(
@@ -201,7 +202,8 @@
   }
 
   /**
-   * Connects more clients than there are descriptors; each gets a response and does not disconnect.
+   * Opens more connections than the proxy has descriptors, and gets a response on each. They stay
+   * open on this side, so the proxy has to close some.
    */
   private static void connectIdle(int port, List<Socket> idle) throws IOException {
     for (int i = 0; i < 500; i++) {
@@ -227,7 +229,7 @@
 
   private void assertLowCpuUse() throws InterruptedException {
     Duration before = process.info().totalCpuDuration().orElseThrow();
-    Thread.sleep(2000); // The elapsed time is what is tested.
+    Thread.sleep(2000); // The CPU time is measured over this period.
     long usedMillis = process.info().totalCpuDuration().orElseThrow().minus(before).toMillis();
     assertTrue(usedMillis < 700, "used while idle: " + usedMillis + " ms of CPU time in 2 s");
   }
--- a/src/test/java/loadbalancer/proxy/ProxyTest.java
+++ b/src/test/java/loadbalancer/proxy/ProxyTest.java
@@ -59,8 +59,8 @@
               && received.contains("Idempotency-Key: k2\r\n")
               && received.endsWith("\r\n\r\na body"),
           received);
-      // Connections become reusable after a quiet period: with enough requests, one is sent on an
-      // existing connection.
+      // Connections become reusable after a quiet period, so requests are sent until one of them
+      // needs no new connection.
       for (int before = -1; before != upstream.connections.size(); ) {
         before = upstream.connections.size();
         client.exchange(ProxyFixture.get("again" + before, ""));
@@ -113,7 +113,7 @@
   }
 
   @Test
-  void healthSaysWhetherItCanServe() throws Exception {
+  void healthCheckReportsWhetherAnEndpointIsReady() throws Exception {
     try (FakeServer upstream = FakeServer.respondingWith(FakeServer.ok("x"));
         ProxyFixture proxy = new ProxyFixture(singleEndpointConfig(upstream));
         Client client = proxy.client()) {
--- a/src/test/java/loadbalancer/proxy/ReloadOrderTest.java
+++ b/src/test/java/loadbalancer/proxy/ReloadOrderTest.java
@@ -41,8 +41,9 @@
 
   private final EventLoopStepQueue steps = new EventLoopStepQueue();
 
-  private static BalancerConfig config(String discovery, String known) throws IOException {
-    return ProxyFixture.config(discovery, known, "pushed", 200, 1024, "");
+  private static BalancerConfig config(String discoveryAddress, String initialList)
+      throws IOException {
+    return ProxyFixture.config(discoveryAddress, initialList, "pushed", 200, 1024, "");
   }
 
   private static void reload(ProxyFixture proxy, FakeServer discovery) {
@@ -81,7 +82,7 @@
           actions -> {
             if (shutdownFirst) {
               shutdown.start();
-              EventLoopStepQueue.sleep(100); // It waits for the event loop by then.
+              EventLoopStepQueue.sleep(100); // The shutdown waits for the event loop by then.
             }
             reload(proxy, newAgent);
             if (!shutdownFirst) {
@@ -113,30 +114,31 @@
   }
 
   /**
-   * Returns an agent that sends one list, resets the watch when {@code close} reaches zero, and
-   * then counts down {@code closed}.
+   * Returns an agent that sends one list, resets the watch when {@code resetAllowed} reaches zero,
+   * and then counts down {@code resetDone}.
    */
-  private static FakeServer resettingAgent(CountDownLatch close, CountDownLatch closed)
+  private static FakeServer resettingAgent(CountDownLatch resetAllowed, CountDownLatch resetDone)
       throws IOException {
     return new FakeServer(
         connection -> {
           connection.readRequest();
           connection.write(
               DiscoveryMessages.watchResponse(ProxyFixture.endpointListJson(2, true, READY)));
-          close.await();
+          resetAllowed.await();
           connection.reset();
-          closed.countDown();
+          resetDone.countDown();
         });
   }
 
   /** The old discovery resets the watch in the turn of the reload, before or after it. */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void keepsOneWatchWhenTheOldAgentClosesInTheTurnOfTheReload(boolean closeFirst) throws Exception {
-    CountDownLatch close = new CountDownLatch(1);
-    CountDownLatch closed = new CountDownLatch(1);
+  void keepsOneWatchWhenTheOldAgentResetsItInTheTurnOfTheReload(boolean resetFirst)
+      throws Exception {
+    CountDownLatch resetAllowed = new CountDownLatch(1);
+    CountDownLatch resetDone = new CountDownLatch(1);
     ScriptedEngine engine = steps.engine("s-1", 0);
-    try (FakeServer oldAgent = resettingAgent(close, closed);
+    try (FakeServer oldAgent = resettingAgent(resetAllowed, resetDone);
         FakeServer newAgent = agent(ProxyFixture.endpointListJson(3, true, READY, OTHER_DRAINING));
         ProxyFixture proxy =
             new ProxyFixture(
@@ -147,17 +149,17 @@
       assertEquals(UpdateKind.FULL, engine.awaitEvent(EndpointListUpdate.class).kind());
       steps.add(
           actions -> {
-            if (closeFirst) {
-              close.countDown();
-              await(closed); // The trigger is read in the turn of the reset, and handled later.
+            if (resetFirst) {
+              resetAllowed.countDown();
+              await(resetDone); // The trigger is read in the turn of the reset, and handled later.
               write(secondTrigger, ProxyFixture.get("second", EventLoopStepQueue.TRIGGER_HEADER));
             } else {
               reload(proxy, newAgent);
-              close.countDown();
-              await(closed);
+              resetAllowed.countDown();
+              await(resetDone);
             }
           });
-      if (closeFirst) {
+      if (resetFirst) {
         steps.add(actions -> reload(proxy, newAgent));
       }
       trigger.exchange(ProxyFixture.get("trigger-1", EventLoopStepQueue.TRIGGER_HEADER));
@@ -175,7 +177,7 @@
 
   /**
    * The new discovery is down at the reload, and reports a drain when it is back. The drain has to
-   * be known 4 s after the signal.
+   * be known within 4 s of the signal.
    */
   @Test
   void learnsOfDrainsInTimeWhenTheNewDiscoveryIsDownAtTheReload() throws Exception {
--- a/src/test/java/loadbalancer/proxy/ReloadTest.java
+++ b/src/test/java/loadbalancer/proxy/ReloadTest.java
@@ -99,7 +99,7 @@
 
   /** An invalid file must neither end the proxy nor leave it without discovery. */
   @Test
-  void changesNothingWhereTheFileCannotBeRead() throws Exception {
+  void changesNothingIfTheFileCannotBeRead() throws Exception {
     ScriptedEngine engine = watchingEngine();
     try (FakeServer discovery = discovery(ProxyFixture.endpointListJson(2, true, MEMBER_A));
         ProxyFixture proxy = new ProxyFixture(polledConfig(discovery), engine)) {
@@ -134,8 +134,8 @@
       proxy.server.reload(
           () -> {
             secondReload.start();
-            // The second signal's thread has either applied its file, or waits for this reload to
-            // end.
+            // Waits until the second thread has either applied its file or is blocked by this
+            // reload.
             while (secondReload.getState() != Thread.State.BLOCKED
                 && secondReload.getState() != Thread.State.TERMINATED) {
               Thread.onSpinWait();
@@ -150,7 +150,10 @@
     }
   }
 
-  /** The environment still holds what the file held at the start of the process. */
+  /**
+   * The environment still holds the values from the start of the process, and the file may be
+   * newer.
+   */
   @Test
   void prefersTheFileToTheEnvironment() throws Exception {
     String text =
--- a/src/test/java/loadbalancer/proxy/RemainingTimeTest.java
+++ b/src/test/java/loadbalancer/proxy/RemainingTimeTest.java
@@ -78,10 +78,10 @@
     ScriptedEngine engine =
         new ScriptedEngine(
             (event, out) -> {
-              if (event instanceof RequestArrived arrived) {
+              if (event instanceof RequestArrived request) {
                 out.accept(
                     new StartAttempt(
-                        arrived.requestId(),
+                        request.requestId(),
                         DiscoveryMessages.endpointId(isRetry ? "s-1" : "s-2"),
                         0));
               } else if (event instanceof AttemptEnded end && isRetry && end.attempt() == 0) {
@@ -103,7 +103,7 @@
       if (isRetry) {
         assertEquals(AttemptStatus.REJECTED, engine.awaitEvent(AttemptEnded.class).status());
       }
-      Thread.sleep(400); // The backlog is full until then; the delay is what is tested.
+      Thread.sleep(400); // The backlog is full until then; the test depends on the delay.
       long elapsed = millisSince(startNanos);
       try (Socket connection = late.accept()) {
         long timeout = timeoutMillis(FakeServer.MessageReader.read(connection.getInputStream()));
@@ -116,8 +116,8 @@
   }
 
   /**
-   * The event loop is blocked until a request's time is over. Its connection is established
-   * meanwhile, which the loop handles before the timer.
+   * The event loop is blocked until a request's deadline has passed. The connection for it is
+   * established meanwhile, and the loop handles that before the timer.
    */
   @Test
   void doesNotWriteAnAttemptWhoseTimeIsOverWhenItsConnectionIsEstablished() throws Exception {
@@ -127,7 +127,7 @@
     ScriptedEngine engine =
         new ScriptedEngine(
             (event, out) -> {
-              if (event instanceof RequestArrived arrived && arrived.workHintNanos() > 0) {
+              if (event instanceof RequestArrived request && request.workHintNanos() > 0) {
                 long startNanos = System.nanoTime();
                 try {
                   accepted.complete(upstream.get().accept());
@@ -135,12 +135,12 @@
                 } catch (IOException | InterruptedException e) {
                   accepted.completeExceptionally(e);
                 }
-                out.accept(new RejectRequest(arrived.requestId(), 0));
-              } else if (event instanceof RequestArrived arrived) {
+                out.accept(new RejectRequest(request.requestId(), 0));
+              } else if (event instanceof RequestArrived request) {
                 out.accept(
-                    new StartAttempt(arrived.requestId(), DiscoveryMessages.endpointId("s-2"), 0));
-              } else if (event instanceof AttemptEnded ended && !ended.isRequestAnswered()) {
-                out.accept(new FailRequest(ended.requestId()));
+                    new StartAttempt(request.requestId(), DiscoveryMessages.endpointId("s-2"), 0));
+              } else if (event instanceof AttemptEnded end && !end.isRequestAnswered()) {
+                out.accept(new FailRequest(end.requestId()));
               }
             });
     try (UnresponsiveUpstream late = new UnresponsiveUpstream();
@@ -184,7 +184,7 @@
               + ProxyFixture.get("patient", "X-Expires-In-Ms: 30000\r\n"));
       assertNotNull(upstream.requests.poll(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS));
       long startNanos = System.nanoTime(); // All three have arrived: they are one small write.
-      Thread.sleep(400); // The elapsed time is what is tested.
+      Thread.sleep(400); // The test depends on the elapsed time.
       long elapsed = millisSince(startNanos);
       responseAllowed.countDown();
       assertTrue(client.readResponse().startsWith("HTTP/1.1 200 "));
--- a/src/test/java/loadbalancer/proxy/RequestDispatcherTest.java
+++ b/src/test/java/loadbalancer/proxy/RequestDispatcherTest.java
@@ -42,7 +42,7 @@
   }
 
   @Test
-  void passesWhatTheHeadersSayToTheEngine() throws Exception {
+  void passesHeaderValuesToTheEngine() throws Exception {
     ScriptedEngine engine =
         new ScriptedEngine(
             (event, actions) -> {
@@ -75,7 +75,7 @@
   }
 
   @Test
-  void completesARequestThatTheEngineForgetsBeforeItsDeadline() throws Exception {
+  void completesARequestThatTheEngineForgets() throws Exception {
     ScriptedEngine engine = new ScriptedEngine((event, actions) -> {});
     try (ProxyFixture proxy = new ProxyFixture(noEndpointsConfig(), engine);
         Client client = proxy.client()) {
@@ -126,7 +126,7 @@
     try (DatagramSocket peer = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
       peer.setSoTimeout(ProxyFixture.TIMEOUT_SECONDS * 1000);
       String peerAddress = "\"127.0.0.1:" + peer.getLocalPort() + "\"";
-      String more =
+      String gossip =
           "\"peer_listen\":\"127.0.0.1:"
               + freePort()
               + "\",\"peers\":[\"127.0.0.1:1\","
@@ -136,7 +136,7 @@
               + ",";
       BalancerConfig config =
           ProxyFixture.config(
-              UNREACHABLE, ProxyFixture.endpointListJson(1, true), "on_request", 200, 1024, more);
+              UNREACHABLE, ProxyFixture.endpointListJson(1, true), "on_request", 200, 1024, gossip);
       try (ProxyFixture proxy = new ProxyFixture(config, engine);
           Client client = proxy.client()) {
         client.write(ProxyFixture.get("t", ""));
@@ -160,11 +160,11 @@
   }
 
   /**
-   * The event loop is blocked while a request with a short timeout arrives: its time is over when
-   * it is read.
+   * The event loop is blocked while a request with a short timeout arrives: its deadline has passed
+   * when it is read.
    */
   @Test
-  void doesNotForwardARequestThatLayUnreadForItsTime() throws Exception {
+  void doesNotForwardARequestThatWasUnreadUntilItsDeadline() throws Exception {
     CountDownLatch blocked = new CountDownLatch(1);
     CountDownLatch written = new CountDownLatch(1);
     ScriptedEngine engine =
--- a/src/test/java/loadbalancer/proxy/StartupTest.java
+++ b/src/test/java/loadbalancer/proxy/StartupTest.java
@@ -38,7 +38,10 @@
     return BalancerConfig.read(Map.of("ROUTER_CONFIG", "deploy/example.json")).settings();
   }
 
-  /** Returns the settings of one of so many instances, with a tenant of this quota per second. */
+  /**
+   * Returns the settings of one of the given number of instances, with one tenant that has the
+   * given quota per second.
+   */
   private static Settings settings(String quota, int instances) throws IOException {
     String text =
         Files.readString(Path.of("deploy/example.json"))
@@ -71,7 +74,7 @@
    * of which the warm-up took 1 s.
    */
   @Test
-  void warmUpIsShorterWhereThereIsLessToServe() throws IOException {
+  void warmUpSendsFewerRequestsWhenLessTrafficIsExpected() throws IOException {
     assertEquals(42, WarmUp.run(settings("985", 14), LONG_MILLIS).answered());
     assertEquals(180, WarmUp.requestCount(settings("600", 2)));
     assertEquals(WarmUp.MIN_REQUESTS, WarmUp.requestCount(settings("100", 14)));
@@ -90,8 +93,8 @@
 
   /**
    * Responses that arrive before the write of their request is known to be complete count as
-   * resets: a third of the attempts did, and the endpoints were ejected. With long latency
-   * objectives, all requests are served.
+   * resets. A third of the attempts did, and the endpoints were ejected. The latency objectives are
+   * long, so that nothing else keeps a request from being served.
    */
   @Test
   void warmUpEndpointsServeEveryRequest() throws IOException {
@@ -110,12 +113,12 @@
   void waitsForDiscoveryBeforeItListens() throws Exception {
     ScriptedEngine engine = new ScriptedEngine((event, actions) -> {});
     CountDownLatch prepared = new CountDownLatch(1);
-    AtomicBoolean early = new AtomicBoolean();
+    AtomicBoolean preparedEarly = new AtomicBoolean();
     try (FakeServer discovery =
         new FakeServer(
             connection -> {
               connection.readRequest();
-              early.set(
+              preparedEarly.set(
                   prepared.await(
                       DiscoveryClient.AGENT_FIRST_LIST_TIMEOUT_MILLIS / 2, TimeUnit.MILLISECONDS));
               connection.write(
@@ -134,7 +137,7 @@
       assertEquals(EndpointState.DRAINING, update.endpoints().get(0).state());
       server.shutDownNow();
     }
-    assertFalse(early.get(), "ready before the list arrived");
+    assertFalse(preparedEarly.get(), "ready before the list arrived");
   }
 
   /**
