--- a/src/main/java/loadbalancer/proxy/DiscoveryWatch.java
+++ b/src/main/java/loadbalancer/proxy/DiscoveryWatch.java
@@ -43,26 +43,26 @@
    * Creates a watch that has not called discovery yet.
    *
    * @param bootstrap opens connections on the event loop
-   * @param pushed whether the list is pushed by an agent on this machine, instead of polled
+   * @param isPushed whether the list is pushed by an agent on this machine, instead of polled
    * @param drainGraceNanos time after the agent learns of a drain within which it has to be applied
    */
   DiscoveryWatch(
       EventLoop loop,
       Bootstrap bootstrap,
       InetSocketAddress address,
-      boolean pushed,
+      boolean isPushed,
       long drainGraceNanos,
       EndpointDirectory directory) {
     this.loop = loop;
-    this.isPushed = pushed;
+    this.isPushed = isPushed;
     this.drainGraceNanos = drainGraceNanos;
     this.directory = directory;
     client =
         new DiscoveryClient(
             bootstrap.clone().option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS),
             address,
-            pushed,
-            firstByteMillis(pushed, drainGraceNanos),
+            isPushed,
+            firstByteMillis(isPushed, drainGraceNanos),
             directory::revision,
             this::handleUpdate);
   }
@@ -71,8 +71,8 @@
    * Returns the time limit for the first byte of a response. A polled list has none: the calls wait
    * in a queue at discovery, and only the time until the first list is limited.
    */
-  private static long firstByteMillis(boolean pushed, long drainGraceNanos) {
-    return pushed
+  private static long firstByteMillis(boolean isPushed, long drainGraceNanos) {
+    return isPushed
         ? DiscoveryTimeouts.agentFirstByteTimeoutMillis(
             TimeUnit.NANOSECONDS.toMillis(drainGraceNanos))
         : Long.MAX_VALUE;
--- a/src/main/java/loadbalancer/proxy/ProxyComponents.java
+++ b/src/main/java/loadbalancer/proxy/ProxyComponents.java
@@ -74,12 +74,12 @@
      *
      * @param bootstrap opens connections to upstreams
      * @param idleNanos time after which an upstream may close an idle connection
-     * @param loadReports whether upstreams send load reports
+     * @param hasLoadReports whether upstreams send load reports
      */
-    Builder upstreams(Bootstrap bootstrap, long idleNanos, boolean loadReports) {
+    Builder upstreams(Bootstrap bootstrap, long idleNanos, boolean hasLoadReports) {
       this.upstreams = bootstrap;
       this.upstreamIdleNanos = idleNanos;
-      this.loadReports = new LoadReportReader(loadReports);
+      this.loadReports = new LoadReportReader(hasLoadReports);
       return this;
     }
 
--- a/src/main/java/loadbalancer/proxy/ProxyServer.java
+++ b/src/main/java/loadbalancer/proxy/ProxyServer.java
@@ -125,13 +125,13 @@
             config.settings().instanceIndex(),
             config.instanceAddresses(),
             config.broadcastAddress());
-    boolean pushed = !config.settings().polledDiscovery();
+    boolean isPushed = !config.settings().polledDiscovery();
     discovery =
         new DiscoveryWatch(
             loop,
             upstreams,
             config.discoveryAddress(),
-            pushed,
+            isPushed,
             config.settings().contract().drainGraceNanos(),
             builder.directory());
     components =
--- a/src/test/java/loadbalancer/proxy/AttemptEndOrderTest.java
+++ b/src/test/java/loadbalancer/proxy/AttemptEndOrderTest.java
@@ -245,10 +245,10 @@
     AtomicInteger connections = new AtomicInteger();
     return new FakeServer(
         connection -> {
-          boolean first = connections.incrementAndGet() == 1;
+          boolean isFirst = connections.incrementAndGet() == 1;
           for (int i = 0; connection.readRequest() != null; i++) {
-            if (!first || i == 0) {
-              connection.write(FakeServer.ok(first ? "before" : "next"));
+            if (!isFirst || i == 0) {
+              connection.write(FakeServer.ok(isFirst ? "before" : "next"));
             }
           }
         });
--- a/src/test/java/loadbalancer/proxy/BrokenConnectionTest.java
+++ b/src/test/java/loadbalancer/proxy/BrokenConnectionTest.java
@@ -95,12 +95,12 @@
     try (FakeServer upstream =
             new FakeServer(
                 c -> {
-                  boolean first = connections.incrementAndGet() == 1;
+                  boolean isFirst = connections.incrementAndGet() == 1;
                   for (String request = c.readRequest();
                       request != null;
                       request = c.readRequest()) {
                     c.write(FakeServer.ok("x"));
-                    if (first) {
+                    if (isFirst) {
                       resetAllowed.await();
                       c.reset();
                       return;
--- a/src/test/java/loadbalancer/proxy/ConnectionCloseTest.java
+++ b/src/test/java/loadbalancer/proxy/ConnectionCloseTest.java
@@ -259,9 +259,9 @@
     return new FakeServer(
         c -> {
           for (String request = c.readRequest(); request != null; request = c.readRequest()) {
-            boolean first = request.contains("X-Trace-Id: t1");
-            c.write(FakeServer.ok(first ? "first" : "second"));
-            if (first) {
+            boolean isFirst = request.contains("X-Trace-Id: t1");
+            c.write(FakeServer.ok(isFirst ? "first" : "second"));
+            if (isFirst) {
               trigger.await();
               // On the thread that reads: the reset is sent when this thread has closed the socket,
               // not before.
--- a/src/test/java/loadbalancer/proxy/ProxyTest.java
+++ b/src/test/java/loadbalancer/proxy/ProxyTest.java
@@ -156,8 +156,8 @@
                   for (String request = connection.readRequest();
                       request != null;
                       request = connection.readRequest()) {
-                    boolean first = request.contains("X-Trace-Id: first");
-                    connection.write(FakeServer.ok(first ? "1" : "2"));
+                    boolean isFirst = request.contains("X-Trace-Id: first");
+                    connection.write(FakeServer.ok(isFirst ? "1" : "2"));
                   }
                 });
         ProxyFixture proxy = new ProxyFixture(singleEndpointConfig(upstream));
--- a/src/test/java/loadbalancer/proxy/StartupTest.java
+++ b/src/test/java/loadbalancer/proxy/StartupTest.java
@@ -113,12 +113,12 @@
   void waitsForDiscoveryBeforeItListens() throws Exception {
     ScriptedEngine engine = new ScriptedEngine((event, actions) -> {});
     CountDownLatch prepared = new CountDownLatch(1);
-    AtomicBoolean preparedEarly = new AtomicBoolean();
+    AtomicBoolean isPreparedEarly = new AtomicBoolean();
     try (FakeServer discovery =
         new FakeServer(
             connection -> {
               connection.readRequest();
-              preparedEarly.set(
+              isPreparedEarly.set(
                   prepared.await(
                       DiscoveryClient.AGENT_FIRST_LIST_TIMEOUT_MILLIS / 2, TimeUnit.MILLISECONDS));
               connection.write(
@@ -137,7 +137,7 @@
       assertEquals(EndpointState.DRAINING, update.endpoints().get(0).state());
       server.shutDownNow();
     }
-    assertFalse(preparedEarly.get(), "ready before the list arrived");
+    assertFalse(isPreparedEarly.get(), "ready before the list arrived");
   }
 
   /**
