--- a/soak/src/main/c/system_call_faults.c
+++ b/soak/src/main/c/system_call_faults.c
@@ -31,7 +31,7 @@
 
 struct rule {
   _Atomic int32_t remaining;   /* number of further calls that fail; -1: all of them */
-  _Atomic int32_t per_million; /* probability that any other call fails, per million */
+  _Atomic int32_t per_million; /* probability that a call fails while remaining is 0, per million */
   _Atomic int32_t error;       /* errno of a failing call; 0: limit reads and writes instead */
   _Atomic int32_t bytes;       /* maximum bytes of a limited read or write */
   _Atomic int64_t injected;    /* number of calls that this rule has affected */
@@ -78,7 +78,7 @@
   return z ^ (z >> 31);
 }
 
-/* Returns the rule that applies to this call and counts the call, or NULL if it is unchanged. */
+/* Returns the rule that applies to this call and counts the call; NULL if the call is unaffected. */
 static struct rule *match_rule(enum call call) {
   if (control == NULL) {
     return NULL;
--- a/soak/src/main/java/loadbalancer/soak/Attempt.java
+++ b/soak/src/main/java/loadbalancer/soak/Attempt.java
@@ -5,10 +5,11 @@
  *
  * @param traceId the trace id that the client sent
  * @param endpoint the upstream's name
- * @param startedUnixMillis the start of the upstream's incarnation
- * @param firstByteNanos the time at which its first byte arrived
- * @param lastByteNanos the time at which its last byte arrived, from which the attempt counts
- * @param remainingMillis the remaining time that it states; -1 if it states none
+ * @param startedUnixMillis the start of the upstream's incarnation; 0 if it started long ago
+ * @param firstByteNanos the time at which the attempt's first byte arrived
+ * @param lastByteNanos the time at which the attempt's last byte arrived, by which it is assigned
+ *     to a slow start window
+ * @param remainingMillis the remaining time that the attempt states; -1 if it states none
  * @param ran false if the upstream responded that the request did not run
  * @param response the mode in which the upstream handled it
  */
--- a/soak/src/main/java/loadbalancer/soak/AttemptLog.java
+++ b/soak/src/main/java/loadbalancer/soak/AttemptLog.java
@@ -14,7 +14,7 @@
   void add(Attempt attempt) {
     attempts.compute(
         attempt.traceId(),
-        (id, before) -> {
+        (traceId, before) -> {
           List<Attempt> all = before == null ? new ArrayList<>(1) : new ArrayList<>(before);
           all.add(attempt);
           return all;
--- a/soak/src/main/java/loadbalancer/soak/ClientWorker.java
+++ b/soak/src/main/java/loadbalancer/soak/ClientWorker.java
@@ -164,19 +164,19 @@
     }
   }
 
-  /** Returns whether a permitted close crossed the request, so that the proxy did not read it. */
+  /** Returns whether the proxy closed the connection, as permitted, before it read the request. */
   private boolean wasClosedBeforeRead(RequestRecord record) {
-    boolean canBeClosed =
+    boolean isClosePermitted =
         proxy.isEndingOrDown()
             || proxy.incarnation() != connectedIncarnation
             || record.sentNanos - lastResponseNanos > IDLE_CLOSE_NANOS;
     return record.outcome == Outcome.CLOSED
         && !record.firstOnConnection
-        && canBeClosed
+        && isClosePermitted
         && attempts.of(record.traceId).isEmpty();
   }
 
-  /** Sends a request again on another connection, as a client does whose request was not read. */
+  /** Sends an unread request again on another connection, as real clients do. */
   private void resend(RequestRecord record) throws IOException {
     record.events.add("connection closed before it was read, sent again on another connection");
     record.outcome = Outcome.NOT_SENT;
@@ -239,7 +239,7 @@
     }
   }
 
-  /** Marks the first request as not sent if a close crossed the burst, so that none was read. */
+  /** Marks the first request as not sent if the proxy closed, as permitted, before reading it. */
   private void markIfClosedBeforeRead(List<RequestRecord> burst, RequestRecord record) {
     if (record == burst.get(0) && wasClosedBeforeRead(record)) {
       record.events.add("connection closed before the burst was read, not sent again");
--- a/soak/src/main/java/loadbalancer/soak/DisruptionInjector.java
+++ b/soak/src/main/java/loadbalancer/soak/DisruptionInjector.java
@@ -189,9 +189,9 @@
       case WRITE -> interruptOrCutShort(faults, call, isFirstVariant, SHORT_WRITE_BYTES);
       case WAIT -> faults.failSome(call, FAILURES_PER_MILLION, Errno.EINTR);
     }
-    boolean isTolerable = call == Call.READ || call == Call.WRITE || call == Call.WAIT;
+    boolean lastsFullDuration = call == Call.READ || call == Call.WRITE || call == Call.WAIT;
     long millis = disruption.durationMillis();
-    Thread.sleep(isTolerable ? millis : Math.min(MAX_CALL_FAILURE_MILLIS, millis));
+    Thread.sleep(lastsFullDuration ? millis : Math.min(MAX_CALL_FAILURE_MILLIS, millis));
     if (call != Call.BIND) {
       faults.clear(call);
     }
--- a/soak/src/main/java/loadbalancer/soak/DisruptionKind.java
+++ b/soak/src/main/java/loadbalancer/soak/DisruptionKind.java
@@ -14,17 +14,25 @@
   KILL_AND_STEP_CLOCK,
   /** The discovery address of a proxy changes, and the proxy receives SIGHUP. */
   RELOAD,
-  /** The discovery address of a proxy changes twice in quick succession. */
+  /**
+   * The discovery address of a proxy changes twice in quick succession, each time with a SIGHUP.
+   */
   RELOAD_TWICE,
-  /** A proxy receives SIGHUP and shortly afterwards SIGTERM. */
+  /**
+   * The discovery address of a proxy changes, the proxy receives SIGHUP and is restarted shortly
+   * afterwards.
+   */
   RELOAD_AND_RESTART,
-  /** Discovery does not respond to any proxy. */
+  /** Discovery does not respond to any proxy for some time. */
   DISCOVERY_DOWN,
   /** The open watches of a proxy stay open but receive nothing any more. */
   WATCHES_SILENT,
   /** The connections of a proxy's watches are reset. */
   WATCHES_RESET,
-  /** New watches of a proxy start with a complete list that omits draining endpoints. */
+  /**
+   * The connections of a proxy's watches are reset, and new watches start with a complete list that
+   * omits draining endpoints.
+   */
   COMPLETE_LISTS,
   /** An endpoint is drained and removed, and a new one is added. */
   RELEASE,
--- a/soak/src/main/java/loadbalancer/soak/EndpointCatalogue.java
+++ b/soak/src/main/java/loadbalancer/soak/EndpointCatalogue.java
@@ -62,13 +62,13 @@
 
   /** Returns a list of the changes from one revision to another. */
   synchronized ObjectNode changesBetween(int since, int revision) {
-    Map<String, EndpointEntry> latest = new LinkedHashMap<>();
+    Map<String, EndpointEntry> latestById = new LinkedHashMap<>();
     for (EndpointEntry entry :
         changes.subList(Math.max(0, since - FIRST_REVISION), revision - FIRST_REVISION)) {
-      latest.put(entry.id(), entry);
+      latestById.put(entry.id(), entry);
     }
     ObjectNode list = emptyList(revision, false);
-    latest.values().forEach(e -> e.writeTo(((ArrayNode) list.get("members")).addObject()));
+    latestById.values().forEach(e -> e.writeTo(((ArrayNode) list.get("members")).addObject()));
     return list;
   }
 
--- a/soak/src/main/java/loadbalancer/soak/FaultControl.java
+++ b/soak/src/main/java/loadbalancer/soak/FaultControl.java
@@ -112,14 +112,14 @@
     set(call, 0, bytes, 0, -1);
   }
 
-  /** Lets all further calls pass unchanged. */
+  /** Lets all further calls of a kind pass unchanged. */
   public void clear(Call call) {
     set(call, 0, 0, 0, 0);
   }
 
   private void set(Call call, int error, int bytes, int perMillion, int remaining) {
     int rule = ruleOffset(call);
-    // The count is written first and last, so that no partly written rule applies.
+    // The rule is disabled first and its count written last, so that no partial rule applies.
     memory.putInt(rule, 0);
     memory.putInt(rule + PER_MILLION_OFFSET, 0);
     memory.putInt(rule + ERROR_OFFSET, error);
--- a/soak/src/main/java/loadbalancer/soak/FaultLibrary.java
+++ b/soak/src/main/java/loadbalancer/soak/FaultLibrary.java
@@ -5,7 +5,7 @@
 import java.nio.file.Path;
 import java.util.concurrent.TimeUnit;
 
-/** Builds the preloaded library that makes system calls fail from its source file. */
+/** Compiles the C library that is preloaded into a process to make its system calls fail. */
 public final class FaultLibrary {
 
   private static final long BUILD_SECONDS = 60;
--- a/soak/src/main/java/loadbalancer/soak/IncompleteRequestClient.java
+++ b/soak/src/main/java/loadbalancer/soak/IncompleteRequestClient.java
@@ -11,6 +11,7 @@
  */
 final class IncompleteRequestClient {
 
+  /** Limit of 3 s plus a tolerance. */
   private static final long MAX_RESPONSE_MILLIS = 3200;
 
   private IncompleteRequestClient() {}
--- a/soak/src/main/java/loadbalancer/soak/InvariantChecker.java
+++ b/soak/src/main/java/loadbalancer/soak/InvariantChecker.java
@@ -17,13 +17,13 @@
  */
 final class InvariantChecker {
 
-  /** A final response that is late by no more than this loses its value but violates no rule. */
+  /** A response after the deadline is worthless, but violates a rule only if later than this. */
   private static final long MAX_LATE_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
   /** Tolerance added to time limits because real sockets delay events. */
   private static final long SOCKET_SLACK_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
-  /** Maximum time between a client's close and the start of an attempt for it. */
+  /** Maximum time between a client's close and the start of an attempt of its request. */
   private static final long CLIENT_CLOSE_SLACK_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
   /** Maximum excess of the remaining time that an attempt states over the actual one. */
@@ -33,7 +33,8 @@
   private static final int SMALL_BUDGET = 30;
 
   /**
-   * Minimum share of an overload that has to come from proxies notified of the endpoint's start.
+   * An overload is a violation only if more than this fraction of its attempts come from proxies
+   * notified of the endpoint's start.
    */
   private static final double MIN_NOTIFIED_FRACTION = 2.0 / 3;
 
@@ -191,7 +192,7 @@
   }
 
   /**
-   * Returns the number of requests that the settings allow in the window ending with an attempt.
+   * Returns the number of attempts that the settings allow in the window that ends with an attempt.
    */
   private double budget(Attempt attempt) {
     long wallOffset = System.currentTimeMillis() - TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
--- a/soak/src/main/java/loadbalancer/soak/LogChecker.java
+++ b/soak/src/main/java/loadbalancer/soak/LogChecker.java
@@ -15,6 +15,7 @@
 
   private LogChecker() {}
 
+  /** Returns one violation for each line of the proxy's log that indicates a defect. */
   static List<Violation> check(ProxyNode proxy) throws IOException {
     List<Violation> violations = new ArrayList<>();
     for (String line : proxy.process().log().split("\n", -1)) {
--- a/soak/src/main/java/loadbalancer/soak/ProxyEventLog.java
+++ b/soak/src/main/java/loadbalancer/soak/ProxyEventLog.java
@@ -5,8 +5,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Log of the signals sent to one proxy, through all its incarnations, and of the violations found
- * in its process. Thread-safe.
+ * Log of the kills, terminations and pauses of one proxy, through all its incarnations, and of the
+ * crashes and failed starts of its process. Thread-safe.
  */
 final class ProxyEventLog implements ProxyHistory {
 
--- a/soak/src/main/java/loadbalancer/soak/ProxyHistory.java
+++ b/soak/src/main/java/loadbalancer/soak/ProxyHistory.java
@@ -6,7 +6,9 @@
  */
 interface ProxyHistory {
 
-  /** Returns whether a SIGKILL excuses the loss of a request that was sent and ended then. */
+  /**
+   * Returns whether a SIGKILL excuses the loss of a request that was sent and ended at these times.
+   */
   boolean wasKilledDuring(long sentNanos, long endNanos);
 
   /** Returns whether the process was stopped at any time in an interval. */
--- a/soak/src/main/java/loadbalancer/soak/ProxyNode.java
+++ b/soak/src/main/java/loadbalancer/soak/ProxyNode.java
@@ -37,7 +37,7 @@
   private final ProxyEventLog eventLog;
   private DiscoveryAgent agent;
   private int deliveredRevision;
-  private long notNotifiedUntilNanos;
+  private long earliestNotificationNanos;
   private volatile boolean accepting;
   private volatile long terminatedNanos;
   private volatile int incarnation;
@@ -58,11 +58,11 @@
     this.loop = loop;
     eventLog = new ProxyEventLog(index, TimeUnit.MILLISECONDS.toNanos(killAfterTermMillis()));
     agent = new DiscoveryAgent(loop, catalogue);
-    notNotifiedUntilNanos = System.nanoTime();
+    earliestNotificationNanos = System.nanoTime();
     recordDelivery(catalogue.revision());
   }
 
-  /** Returns the log of signals sent to the proxy and of violations found in its process. */
+  /** Returns the log of the proxy's kills, terminations, pauses, crashes and failed starts. */
   ProxyEventLog eventLog() {
     return eventLog;
   }
@@ -112,7 +112,7 @@
   }
 
   private void recordNotifications(int since, int revision) {
-    long from = Math.max(System.nanoTime(), notNotifiedUntilNanos);
+    long from = Math.max(System.nanoTime(), earliestNotificationNanos);
     for (int r = Math.max(since, catalogue.firstRevision()) + 1; r <= revision; r++) {
       notifications.add(index, catalogue.change(r), from);
     }
@@ -121,16 +121,16 @@
   /** Silences the open watches of the proxy. */
   synchronized void silenceWatches() {
     agent.silenceWatches();
-    notNotifiedUntilNanos =
-        Math.max(notNotifiedUntilNanos, System.nanoTime() + SILENCE_NOTIFICATION_NANOS);
+    earliestNotificationNanos =
+        Math.max(earliestNotificationNanos, System.nanoTime() + SILENCE_NOTIFICATION_NANOS);
   }
 
   /** Moves discovery to another address and sends SIGHUP to the process. */
   synchronized void reload() throws IOException, InterruptedException {
     DiscoveryAgent former = agent;
     agent = new DiscoveryAgent(loop, catalogue);
-    notNotifiedUntilNanos =
-        Math.max(notNotifiedUntilNanos, System.nanoTime() + RELOAD_NOTIFICATION_NANOS);
+    earliestNotificationNanos =
+        Math.max(earliestNotificationNanos, System.nanoTime() + RELOAD_NOTIFICATION_NANOS);
     recordDelivery(catalogue.revision());
     configure();
     process.sendHangUp();
--- a/soak/src/main/java/loadbalancer/soak/ProxyProcess.java
+++ b/soak/src/main/java/loadbalancer/soak/ProxyProcess.java
@@ -119,7 +119,10 @@
     }
   }
 
-  /** Waits until {@code GET /healthz} returns 200; returns false if it does not in time. */
+  /**
+   * Waits until {@code GET /healthz} returns 200. Returns false if it does not in time or the
+   * process ends.
+   */
   boolean awaitReady(long maxMillis) throws InterruptedException {
     long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(maxMillis);
     while (System.nanoTime() < until && process.isAlive()) {
--- a/soak/src/main/java/loadbalancer/soak/RequestRecord.java
+++ b/soak/src/main/java/loadbalancer/soak/RequestRecord.java
@@ -17,7 +17,7 @@
     NOT_SENT,
     /** A complete response was received. */
     RESPONSE,
-    /** The proxy closed the connection without a response. */
+    /** The connection was closed or reset before a complete response was received. */
     CLOSED,
     /** No complete response was received by the end of the wait after the deadline. */
     UNANSWERED,
@@ -50,14 +50,14 @@
   /** Returns the HTTP/1.1 encoding of the request. */
   String toHttp() {
     StringBuilder text = new StringBuilder();
-    boolean get = kind.effect() == RequestKind.Effect.IDEMPOTENT;
-    text.append(get ? "GET" : "POST").append(" /api HTTP/1.1\r\nHost: backend.local\r\n");
+    boolean isGet = kind.effect() == RequestKind.Effect.IDEMPOTENT;
+    text.append(isGet ? "GET" : "POST").append(" /api HTTP/1.1\r\nHost: backend.local\r\n");
     text.append("X-Trace-Id: ").append(traceId).append("\r\nX-Qos: ").append(kind.name());
     text.append("\r\nX-Customer: all\r\nX-Expires-In-Ms: ").append(remainingMillis);
     if (kind.effect() == RequestKind.Effect.DEDUPLICATED) {
       text.append("\r\nIdempotency-Key: key-").append(traceId);
     }
-    if (get) {
+    if (isGet) {
       return text.append("\r\n\r\n").toString();
     }
     String content = "content of " + traceId;
--- a/soak/src/main/java/loadbalancer/soak/SoakRun.java
+++ b/soak/src/main/java/loadbalancer/soak/SoakRun.java
@@ -83,7 +83,7 @@
   SoakReport run() throws IOException, InterruptedException {
     startAll();
     List<Disruption> disruptions =
-        DisruptionSchedule.draw(
+        DisruptionGenerator.generate(
             options.seed, TimeUnit.SECONDS.toMillis(options.seconds), options.processes);
     AtomicBoolean running = new AtomicBoolean(true);
     List<Thread> clients = startClients(running);
--- a/soak/src/main/java/loadbalancer/soak/Violation.java
+++ b/soak/src/main/java/loadbalancer/soak/Violation.java
@@ -14,9 +14,12 @@
   enum Rule {
     /** A request that a live proxy accepted got no final response in time. */
     DROPPED_REQUEST,
-    /** A client received a response that no upstream sent for its request. */
+    /** A client received a response with status 200 that no upstream sent for its request. */
     WRONG_RESPONSE,
-    /** A request ran more often than its class allows, or was rejected though it may have run. */
+    /**
+     * A request ran more often than its class allows, or again after its deduplication window, or
+     * an at-most-once request was rejected though it may have run.
+     */
     DUPLICATE,
     /** An attempt reached a draining or removed endpoint after the grace period. */
     DRAINING_ENDPOINT,
--- a/soak/src/test/java/loadbalancer/soak/AcceptFailureTest.java
+++ b/soak/src/test/java/loadbalancer/soak/AcceptFailureTest.java
@@ -22,7 +22,7 @@
   /** Connections that Netty accepts on a listener before it handles other channels. */
   private static final int ACCEPTS_PER_ITERATION = 16;
 
-  private static final long DEADLINE_MILLIS = 800;
+  private static final long REQUEST_DEADLINE_MILLIS = 800;
 
   @TempDir Path folder;
 
@@ -30,7 +30,7 @@
     return new SingleProxy(folder, Deployment.of(1, 2), 0, 0).start();
   }
 
-  /** Accept fails until after 0.55 s from SIGTERM, when the listener is due to close. */
+  /** Accept fails for at least 0.7 s after SIGTERM. The listener is due to close after 0.55 s. */
   @Test
   void servesClientsThatCouldNotBeAcceptedBeforeTheListenerWasToClose()
       throws IOException, InterruptedException {
@@ -42,12 +42,12 @@
       List<ClientConnection> clients = new ArrayList<>();
       for (int i = 0; i < CLIENTS; i++) {
         ClientConnection client = proxy.connect();
-        client.write(proxy.readRequest(DEADLINE_MILLIS));
+        client.write(proxy.readRequest(REQUEST_DEADLINE_MILLIS));
         clients.add(client);
       }
       Thread.sleep(500);
       proxy.process.faults().clear(Call.ACCEPT);
-      long until = System.nanoTime() + 1_000_000 * DEADLINE_MILLIS;
+      long until = System.nanoTime() + 1_000_000 * REQUEST_DEADLINE_MILLIS;
       for (ClientConnection client : clients) {
         Response response = client.read(until);
         assertEquals(200, response.status(), () -> "ended by " + response.end());
@@ -94,12 +94,13 @@
         proxy.process.faults().cutShort(Call.READ, 7);
       }
       long sentNanos = System.nanoTime();
-      client.write(SingleProxy.readRequest("waiting", DEADLINE_MILLIS));
+      client.write(SingleProxy.readRequest("waiting", REQUEST_DEADLINE_MILLIS));
       Thread.sleep(400);
       proxy.process.faults().clear(Call.ACCEPT);
-      assertEquals(200, client.read(sentNanos + 1_000_000 * DEADLINE_MILLIS).status());
+      assertEquals(200, client.read(sentNanos + 1_000_000 * REQUEST_DEADLINE_MILLIS).status());
       Attempt attempt = proxy.attempts.of("waiting").get(0);
-      long leftMillis = DEADLINE_MILLIS - (attempt.firstByteNanos() - sentNanos) / 1_000_000;
+      long leftMillis =
+          REQUEST_DEADLINE_MILLIS - (attempt.firstByteNanos() - sentNanos) / 1_000_000;
       assertTrue(
           attempt.remainingMillis() <= leftMillis + 150,
           () -> "stated " + attempt.remainingMillis() + " ms, left " + leftMillis + " ms");
@@ -119,13 +120,13 @@
         waiting.add(proxy.connect());
       }
       proxy.process.faults().clear(Call.ACCEPT);
-      Thread.sleep(2 * DEADLINE_MILLIS);
+      Thread.sleep(2 * REQUEST_DEADLINE_MILLIS);
       // The process is stopped, so that the request has arrived when its connection is accepted.
       proxy.process.sendSignal("STOP");
       try (ClientConnection client = proxy.connect()) {
-        client.write(proxy.readRequest(DEADLINE_MILLIS));
+        client.write(proxy.readRequest(REQUEST_DEADLINE_MILLIS));
         proxy.process.sendSignal("CONT");
-        long until = System.nanoTime() + 1_000_000 * DEADLINE_MILLIS;
+        long until = System.nanoTime() + 1_000_000 * REQUEST_DEADLINE_MILLIS;
         assertEquals(200, client.read(until).status());
       }
       waiting.forEach(ClientConnection::close);
@@ -142,12 +143,12 @@
     try (SingleProxy proxy = start()) {
       proxy.process.faults().failAll(Call.ACCEPT, Errno.ENFILE);
       try (ClientConnection client = proxy.connect()) {
-        client.write(proxy.readRequest(DEADLINE_MILLIS));
+        client.write(proxy.readRequest(REQUEST_DEADLINE_MILLIS));
         Thread.sleep(1000);
-        long failures = proxy.process.faults().injected(Call.ACCEPT);
+        long failedCalls = proxy.process.faults().injected(Call.ACCEPT);
         assertTrue(
-            failures > 5 && failures < 200,
-            () -> failures + " failed calls in a second, " + logOf(proxy));
+            failedCalls > 5 && failedCalls < 200,
+            () -> failedCalls + " failed calls in a second, " + logOf(proxy));
       }
     }
   }
--- a/soak/src/test/java/loadbalancer/soak/BlockedLogTest.java
+++ b/soak/src/test/java/loadbalancer/soak/BlockedLogTest.java
@@ -17,7 +17,7 @@
   private static final int PIPE_BYTES = 1 << 16;
 
   private static final long SERVE_MILLIS = 4000;
-  private static final long DEADLINE_MILLIS = 800;
+  private static final long REQUEST_DEADLINE_MILLIS = 800;
   private static final long INTERVAL_MILLIS = 20;
 
   @TempDir Path folder;
@@ -45,8 +45,8 @@
     long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(SERVE_MILLIS);
     try (ClientConnection client = proxy.connect()) {
       while (System.nanoTime() < until) {
-        String request = proxy.readRequest(DEADLINE_MILLIS);
-        assertEquals(200, SingleProxy.exchange(client, request, DEADLINE_MILLIS).status());
+        String request = proxy.readRequest(REQUEST_DEADLINE_MILLIS);
+        assertEquals(200, SingleProxy.exchange(client, request, REQUEST_DEADLINE_MILLIS).status());
         Thread.sleep(INTERVAL_MILLIS);
       }
     }
--- a/soak/src/test/java/loadbalancer/soak/DiscoveryRecoveryTest.java
+++ b/soak/src/test/java/loadbalancer/soak/DiscoveryRecoveryTest.java
@@ -9,10 +9,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Tests that a change published when discovery recovers takes effect immediately. */
+/** Tests that a drain published when discovery recovers is followed within the grace period. */
 class DiscoveryRecoveryTest {
 
-  private static final long DEADLINE_MILLIS = 400;
+  private static final long REQUEST_DEADLINE_MILLIS = 400;
   private static final long SERVE_MILLIS = 1500;
 
   /** Tolerance added to time limits because real sockets delay events. */
@@ -43,7 +43,7 @@
               .filter(attempt -> attempt.endpoint().equals(leaving.name()))
               .filter(attempt -> attempt.firstByteNanos() > notifiedNanos + graceNanos)
               .count();
-      assertEquals(0, lateAttempts, "attempts after the grace");
+      assertEquals(0, lateAttempts, "attempts after the grace period");
     }
   }
 
@@ -51,7 +51,8 @@
     long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(SERVE_MILLIS);
     try (ClientConnection client = proxy.connect()) {
       while (System.nanoTime() < until) {
-        SingleProxy.exchange(client, proxy.readRequest(DEADLINE_MILLIS), DEADLINE_MILLIS);
+        SingleProxy.exchange(
+            client, proxy.readRequest(REQUEST_DEADLINE_MILLIS), REQUEST_DEADLINE_MILLIS);
       }
     }
   }
--- a/soak/src/test/java/loadbalancer/soak/FloodTest.java
+++ b/soak/src/test/java/loadbalancer/soak/FloodTest.java
@@ -12,7 +12,7 @@
 /** Tests a proxy under clients that send without end and reconnect when they are disconnected. */
 class FloodTest {
 
-  private static final long DEADLINE_MILLIS = 800;
+  private static final long REQUEST_DEADLINE_MILLIS = 800;
   private static final long SERVE_MILLIS = 3000;
   private static final int FLOODING_CLIENTS = 2;
 
@@ -47,8 +47,8 @@
       }
       long until = System.nanoTime() + SERVE_MILLIS * 1_000_000;
       while (System.nanoTime() < until) {
-        String request = proxy.readRequest(DEADLINE_MILLIS);
-        assertEquals(200, SingleProxy.exchange(client, request, DEADLINE_MILLIS).status());
+        String request = proxy.readRequest(REQUEST_DEADLINE_MILLIS);
+        assertEquals(200, SingleProxy.exchange(client, request, REQUEST_DEADLINE_MILLIS).status());
         Thread.sleep(20);
       }
       proxy.process.terminate();
--- a/soak/src/test/java/loadbalancer/soak/InvariantCheckerTest.java
+++ b/soak/src/test/java/loadbalancer/soak/InvariantCheckerTest.java
@@ -10,7 +10,7 @@
 import loadbalancer.soak.Violation.Rule;
 import org.junit.jupiter.api.Test;
 
-/** Tests that each kind of violation is found, and none in a healthy run. */
+/** Tests that the checker finds violations of each of its rules, and none in a healthy request. */
 class InvariantCheckerTest {
 
   private static final long SENT_NANOS = TimeUnit.SECONDS.toNanos(1000);
@@ -34,7 +34,7 @@
         }
       };
 
-  private List<Rule> rules(List<RequestRecord> requests) {
+  private List<Rule> violatedRules(List<RequestRecord> requests) {
     return new InvariantChecker(deployment, attempts, notifications, List.of(history))
         .check(requests).stream().map(Violation::rule).toList();
   }
@@ -51,70 +51,77 @@
     return request;
   }
 
-  private void attempt(long atMillis, long started, long remainingMillis) {
+  private void addAttempt(long atMillis, long startedUnixMillis, long remainingMillis) {
     long at = SENT_NANOS + atMillis * MILLI_NANOS;
-    attempts.add(new Attempt("t", "s0", started, at, at, remainingMillis, true, "SERVING"));
+    attempts.add(
+        new Attempt("t", "s0", startedUnixMillis, at, at, remainingMillis, true, "SERVING"));
   }
 
-  private List<Rule> rulesOf(String kind, Consumer<RequestRecord> change) {
-    return rules(List.of(request(kind, change)));
+  private List<Rule> violatedRulesOf(String kind, Consumer<RequestRecord> change) {
+    return violatedRules(List.of(request(kind, change)));
   }
 
   @Test
   void findsNothingInAHealthyRequest() {
-    attempt(1, 0, 990);
-    assertEquals(List.of(), rulesOf("publish", r -> {}));
+    addAttempt(1, 0, 990);
+    assertEquals(List.of(), violatedRulesOf("publish", r -> {}));
   }
 
   @Test
   void findsRequestsThatGotNoResponseInTime() {
-    assertEquals(List.of(Rule.DROPPED_REQUEST), rulesOf("read", r -> r.outcome = Outcome.CLOSED));
     assertEquals(
-        List.of(Rule.DROPPED_REQUEST), rulesOf("read", r -> r.outcome = Outcome.UNANSWERED));
+        List.of(Rule.DROPPED_REQUEST), violatedRulesOf("read", r -> r.outcome = Outcome.CLOSED));
+    assertEquals(
+        List.of(Rule.DROPPED_REQUEST),
+        violatedRulesOf("read", r -> r.outcome = Outcome.UNANSWERED));
     Consumer<RequestRecord> late = r -> r.endNanos = SENT_NANOS + 1501 * MILLI_NANOS;
-    assertEquals(List.of(Rule.DROPPED_REQUEST), rulesOf("read", late.andThen(r -> r.status = 503)));
+    assertEquals(
+        List.of(Rule.DROPPED_REQUEST), violatedRulesOf("read", late.andThen(r -> r.status = 503)));
     killed = true;
-    assertEquals(List.of(), rulesOf("read", r -> r.outcome = Outcome.CLOSED), "by the platform");
+    assertEquals(
+        List.of(),
+        violatedRulesOf("read", r -> r.outcome = Outcome.CLOSED),
+        "killed by the platform");
   }
 
   @Test
   void findsResponsesThatNoEndpointMade() {
-    attempt(1, 0, 990);
-    assertEquals(List.of(Rule.WRONG_RESPONSE), rulesOf("read", r -> r.body = "u by s0"));
+    addAttempt(1, 0, 990);
+    assertEquals(List.of(Rule.WRONG_RESPONSE), violatedRulesOf("read", r -> r.body = "u by s0"));
   }
 
   @Test
   void findsRequestsThatRanTwiceOrWereRejectedThoughTheyMayHaveRun() {
-    attempt(1, 0, 990);
-    assertEquals(List.of(Rule.DUPLICATE), rulesOf("publish", r -> r.status = 429));
-    attempt(2, 0, 990);
-    assertEquals(List.of(Rule.DUPLICATE), rulesOf("publish", r -> {}));
-    assertEquals(List.of(), rulesOf("edit", r -> {}), "within its window");
-    attempt(3100, 0, -1);
-    assertEquals(List.of(Rule.DUPLICATE), rulesOf("edit", r -> {}));
+    addAttempt(1, 0, 990);
+    assertEquals(List.of(Rule.DUPLICATE), violatedRulesOf("publish", r -> r.status = 429));
+    addAttempt(2, 0, 990);
+    assertEquals(List.of(Rule.DUPLICATE), violatedRulesOf("publish", r -> {}));
+    assertEquals(List.of(), violatedRulesOf("edit", r -> {}), "within its window");
+    addAttempt(3100, 0, -1);
+    assertEquals(List.of(Rule.DUPLICATE), violatedRulesOf("edit", r -> {}));
   }
 
   @Test
   void findsAttemptsAtADrainingEndpoint() {
     EndpointEntry entry = new EndpointEntry("s0", "", EndpointEntry.Phase.DRAINING, 0);
     notifications.add(0, entry, SENT_NANOS - 560 * MILLI_NANOS);
-    attempt(1, 0, 990);
-    assertEquals(List.of(Rule.DRAINING_ENDPOINT), rulesOf("read", r -> {}));
+    addAttempt(1, 0, 990);
+    assertEquals(List.of(Rule.DRAINING_ENDPOINT), violatedRulesOf("read", r -> {}));
   }
 
   @Test
   void findsAttemptsForAClientThatHasLeft() {
-    attempt(150, 0, -1);
+    addAttempt(150, 0, -1);
     Consumer<RequestRecord> left = r -> r.outcome = Outcome.LEFT;
     assertEquals(
         List.of(Rule.CLIENT_GONE),
-        rulesOf("read", left.andThen(r -> r.closedNanos = SENT_NANOS + 20 * MILLI_NANOS)));
+        violatedRulesOf("read", left.andThen(r -> r.closedNanos = SENT_NANOS + 20 * MILLI_NANOS)));
   }
 
   @Test
   void findsAttemptsThatStateTooMuchTime() {
-    attempt(400, 0, 990);
-    assertEquals(List.of(Rule.DEADLINE_PROPAGATION), rulesOf("read", r -> {}));
+    addAttempt(400, 0, 990);
+    assertEquals(List.of(Rule.DEADLINE_PROPAGATION), violatedRulesOf("read", r -> {}));
   }
 
   @Test
@@ -125,14 +132,16 @@
             + TimeUnit.NANOSECONDS.toMillis(SENT_NANOS);
     EndpointEntry entry = new EndpointEntry("s0", "", EndpointEntry.Phase.READY, startedUnixMillis);
     notifications.add(0, entry, SENT_NANOS);
-    // A tenth of 40 requests per second, times 2.5, gives 20 in 2 s, plus a margin of 16.4.
-    List<RequestRecord> requests = new ArrayList<>(burst(30, startedUnixMillis));
-    assertEquals(List.of(), rules(requests));
-    requests.addAll(burst(10, startedUnixMillis));
-    assertEquals(List.of(Rule.SLOW_START), rules(requests));
+    // A tenth of the capacity of 40 requests per second, times the overload multiple 2.5, allows
+    // 20 attempts in the window of 2 s, plus a margin of 16.4.
+    List<RequestRecord> requests = new ArrayList<>(addBurst(30, startedUnixMillis));
+    assertEquals(List.of(), violatedRules(requests));
+    requests.addAll(addBurst(10, startedUnixMillis));
+    assertEquals(List.of(Rule.SLOW_START), violatedRules(requests));
   }
 
-  private List<RequestRecord> burst(int count, long started) {
+  /** Adds one attempt at the endpoint for each of several requests, and returns the requests. */
+  private List<RequestRecord> addBurst(int count, long started) {
     List<RequestRecord> requests = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       RequestRecord request =
--- a/soak/src/test/java/loadbalancer/soak/LargeListTest.java
+++ b/soak/src/test/java/loadbalancer/soak/LargeListTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Compares the resources that a proxy uses with 200 endpoints and with sixteen times as many, of
- * which 60 percent are replaced while it serves the same traffic.
+ * Compares the resources that a proxy uses with 200 endpoints and with sixteen times as many. In
+ * both cases 60 percent of them are replaced while the proxy serves the same traffic.
  */
 class LargeListTest {
 
@@ -19,7 +19,10 @@
   private static final int USUAL_ENDPOINTS = 200;
   private static final int LARGE_ENDPOINTS = 3200;
   private static final double FLEET_CAPACITY = 6000;
+
+  /** Number of upstreams that listen. All endpoints share their addresses. */
   private static final int LISTENERS = 8;
+
   private static final int REPLACEMENT_MILLIS = 7000;
   private static final int SERVE_MILLIS = 4000;
   private static final int REQUEST_INTERVAL_MILLIS = 25;
@@ -59,26 +62,26 @@
       throws IOException, InterruptedException {
     Random random = new Random(1);
     int sent = 0;
-    int ok = 0;
+    int served = 0;
     int replaced = 0;
     long start = System.nanoTime();
     try (ClientConnection client = proxy.connect()) {
       for (long now = 0; now < REPLACEMENT_MILLIS + 2 * SERVE_MILLIS; now = millisSince(start)) {
         double replacedFraction =
             Math.min(1, Math.max(0, (now - SERVE_MILLIS) / (double) REPLACEMENT_MILLIS));
-        int due = (int) (replacedFraction * 0.6 * endpoints);
-        for (; replaced < due; replaced++) {
+        int dueReplacements = (int) (replacedFraction * 0.6 * endpoints);
+        for (; replaced < dueReplacements; replaced++) {
           replace(proxy, endpoints, replaced);
         }
         proxy.agent.advanceTo(proxy.catalogue.revision());
-        String key = "Cookie: sid=" + random.nextInt(AFFINITY_KEYS) + "\r\n\r\n";
-        String request = proxy.readRequest(800).replaceFirst("\r\n\r\n$", "\r\n" + key);
+        String cookieHeader = "Cookie: sid=" + random.nextInt(AFFINITY_KEYS) + "\r\n\r\n";
+        String request = proxy.readRequest(800).replaceFirst("\r\n\r\n$", "\r\n" + cookieHeader);
         sent++;
-        ok += SingleProxy.exchange(client, request, 800).status() == 200 ? 1 : 0;
+        served += SingleProxy.exchange(client, request, 800).status() == 200 ? 1 : 0;
         Thread.sleep(REQUEST_INTERVAL_MILLIS);
       }
     }
-    return ok / (double) sent;
+    return served / (double) sent;
   }
 
   private static long millisSince(long startNanos) {
--- a/soak/src/test/java/loadbalancer/soak/PipelineTest.java
+++ b/soak/src/test/java/loadbalancer/soak/PipelineTest.java
@@ -21,7 +21,7 @@
 
   @TempDir Path folder;
 
-  /** The endpoint does not respond to the first request before the second one's deadline. */
+  /** No endpoint responds, and the second request has the earlier deadline. */
   @Test
   void respondsInTimeToARequestBehindOneThatHangs() throws IOException, InterruptedException {
     Deployment deployment = Deployment.of(1, 2);
--- a/soak/src/test/java/loadbalancer/soak/RestartedDiscoveryTest.java
+++ b/soak/src/test/java/loadbalancer/soak/RestartedDiscoveryTest.java
@@ -8,13 +8,16 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Tests discovery whose revisions start over, after a restart or at another address. */
+/**
+ * Tests that the proxy follows a restarted discovery agent at another address, whose revisions
+ * start over.
+ */
 class RestartedDiscoveryTest {
 
   /** Time after which the proxy counts as notified of the list of a reachable discovery agent. */
   private static final long NOTIFICATION_MILLIS = 6000;
 
-  private static final long DEADLINE_MILLIS = 400;
+  private static final long REQUEST_DEADLINE_MILLIS = 400;
   private static final int REQUESTS = 40;
 
   @TempDir Path folder;
@@ -42,8 +45,9 @@
         long before = proxy.attemptsAt(leaving);
         try (ClientConnection client = proxy.connect()) {
           for (int i = 0; i < REQUESTS; i++) {
-            String request = proxy.readRequest(DEADLINE_MILLIS);
-            assertEquals(200, SingleProxy.exchange(client, request, DEADLINE_MILLIS).status());
+            String request = proxy.readRequest(REQUEST_DEADLINE_MILLIS);
+            assertEquals(
+                200, SingleProxy.exchange(client, request, REQUEST_DEADLINE_MILLIS).status());
           }
         }
         long sent = proxy.attemptsAt(leaving) - before;
--- a/soak/src/test/java/loadbalancer/soak/SingleProxy.java
+++ b/soak/src/test/java/loadbalancer/soak/SingleProxy.java
@@ -15,7 +15,7 @@
 /** Test fixture of one proxy process with its upstreams and its discovery agent. */
 final class SingleProxy implements AutoCloseable {
 
-  /** Limit of waits for required events. No test passes when it expires. */
+  /** Maximum wait for an event that a test requires. The test fails when it expires. */
   static final long TIMEOUT_MILLIS = 60_000;
 
   private static final Path HOME = Path.of(System.getProperty("proxy.home")).toAbsolutePath();
@@ -73,7 +73,7 @@
             SEED));
   }
 
-  /** Returns another agent, with the current list of another catalogue. */
+  /** Starts another agent, which has the current list of another catalogue. */
   DiscoveryAgent newAgent(EndpointCatalogue other) {
     return new DiscoveryAgent(group.next(), other);
   }
--- a/soak/src/test/java/loadbalancer/soak/SoakRunTest.java
+++ b/soak/src/test/java/loadbalancer/soak/SoakRunTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import picocli.CommandLine;
 
-/** Tests a short run of the soak test. Long runs are started manually. */
+/** Tests a short run of the soak test, and its options. Long runs are started manually. */
 class SoakRunTest {
 
   private static final int SECONDS = 15;
--- a/soak/src/test/java/loadbalancer/soak/SocketFailureTest.java
+++ b/soak/src/test/java/loadbalancer/soak/SocketFailureTest.java
@@ -18,7 +18,7 @@
 /** Tests temporary failures of socket system calls at the start and while serving. */
 class SocketFailureTest {
 
-  private static final long DEADLINE_MILLIS = 800;
+  private static final long REQUEST_DEADLINE_MILLIS = 800;
   private static final int REQUESTS = 60;
 
   @TempDir Path folder;
@@ -36,41 +36,41 @@
     }
   }
 
-  /** The first sockets are those of the discovery client, the interface lookup or the listener. */
+  /** The first sockets of a process are for the discovery client, interface lookup or listener. */
   @Test
   void startsThoughSocketsCannotBeCreatedForAMoment() throws IOException, InterruptedException {
-    for (int failures : new int[] {1, 4, 16}) {
+    for (int failingCalls : new int[] {1, 4, 16}) {
       try (SingleProxy proxy = prepare()) {
-        proxy.process.faults().failNext(Call.SOCKET, failures, Errno.ENFILE);
+        proxy.process.faults().failNext(Call.SOCKET, failingCalls, Errno.ENFILE);
         proxy.start();
       }
     }
   }
 
-  /** No request has been sent, and the failures are not the endpoints' fault. */
+  /** No request has reached an endpoint, and the failures must not count against the endpoints. */
   @Test
   void servesRequestsWhoseConnectionsCannotBeMadeForAMoment()
       throws IOException, InterruptedException {
-    Map<Call, Errno> failures =
+    Map<Call, Errno> errorByCall =
         Map.of(Call.CONNECT, Errno.EADDRNOTAVAIL, Call.SOCKET, Errno.ENFILE);
-    for (Map.Entry<Call, Errno> failure : failures.entrySet()) {
+    for (Map.Entry<Call, Errno> failingCall : errorByCall.entrySet()) {
       try (SingleProxy proxy = prepare().start()) {
-        proxy.process.faults().failAll(failure.getKey(), failure.getValue());
+        proxy.process.faults().failAll(failingCall.getKey(), failingCall.getValue());
         List<ClientConnection> clients = new ArrayList<>();
         for (int i = 0; i < REQUESTS; i++) {
           ClientConnection client = proxy.connect();
-          client.write(proxy.readRequest(DEADLINE_MILLIS));
+          client.write(proxy.readRequest(REQUEST_DEADLINE_MILLIS));
           clients.add(client);
         }
         Thread.sleep(300);
-        proxy.process.faults().clear(failure.getKey());
-        assertAllServed(clients, failure.toString());
+        proxy.process.faults().clear(failingCall.getKey());
+        assertAllServed(clients, failingCall.toString());
       }
     }
   }
 
   private static void assertAllServed(List<ClientConnection> clients, String when) {
-    long until = System.nanoTime() + 1_000_000 * DEADLINE_MILLIS;
+    long until = System.nanoTime() + 1_000_000 * REQUEST_DEADLINE_MILLIS;
     List<Integer> statuses = new ArrayList<>();
     for (ClientConnection client : clients) {
       Response response = client.read(until);
@@ -87,7 +87,7 @@
       List<ClientConnection> clients = new ArrayList<>();
       for (int i = 0; i < REQUESTS; i++) {
         ClientConnection client = proxy.connect();
-        client.write(proxy.readRequest(DEADLINE_MILLIS));
+        client.write(proxy.readRequest(REQUEST_DEADLINE_MILLIS));
         clients.add(client);
       }
       assertAllServed(clients, "interrupted reads");
@@ -104,7 +104,8 @@
       try (ClientConnection client = proxy.connect()) {
         for (int i = 0; i < REQUESTS; i++) {
           Response response =
-              SingleProxy.exchange(client, proxy.readRequest(DEADLINE_MILLIS), DEADLINE_MILLIS);
+              SingleProxy.exchange(
+                  client, proxy.readRequest(REQUEST_DEADLINE_MILLIS), REQUEST_DEADLINE_MILLIS);
           assertEquals(200, response.status());
         }
       }
--- a/soak/src/test/java/loadbalancer/soak/WallClockTest.java
+++ b/soak/src/test/java/loadbalancer/soak/WallClockTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Tests slow start of an endpoint when the proxy's wall clock is wrong. */
+/** Tests that slow start lasts the configured time even if the proxy's wall clock is wrong. */
 class WallClockTest {
 
   private static final int ENDPOINTS = 4;
@@ -18,7 +18,10 @@
 
   @TempDir Path folder;
 
-  /** Returns a proxy whose last endpoint has just started, while the others are warm. */
+  /**
+   * Returns a proxy that is not started yet. Its last endpoint has just started, the others are
+   * warm.
+   */
   private SingleProxy prepareProxy() throws IOException, InterruptedException {
     long justNow = System.currentTimeMillis() - 500;
     return new SingleProxy(
@@ -30,7 +33,9 @@
         justNow);
   }
 
-  /** Returns the requests at the started endpoint, relative to the mean of the warm endpoints. */
+  /**
+   * Returns the requests at the endpoint that has just started, relative to the mean of the others.
+   */
   private static double relativeLoad(SingleProxy proxy, long millis)
       throws IOException, InterruptedException {
     long warmingBefore = proxy.attemptsAt(proxy.upstreams.get(ENDPOINTS - 1));
