--- a/src/main/java/loadbalancer/discovery/DiscoveryTimeouts.java
+++ b/src/main/java/loadbalancer/discovery/DiscoveryTimeouts.java
@@ -11,9 +11,10 @@
   static final long UPDATE_DEADLINE_MILLIS = 6000;
 
   /**
-   * The time without received data after which a call fails once it has its first list. Discovery
-   * writes a line every 2 s. The limit is far below the deadline for updates because the watch that
-   * replaces a failed one may have a dead connection as well.
+   * The time without received data after which a call that has received a list fails, and the
+   * maximum of the time for the first list of a call where the list is polled. Discovery writes a
+   * line every 2 s. The limit is far below the deadline for updates because the watch that replaces
+   * a failed one may have a dead connection as well.
    */
   static final long SILENCE_TIMEOUT_MILLIS = 2800;
 
--- a/src/main/java/loadbalancer/discovery/EndpointDirectory.java
+++ b/src/main/java/loadbalancer/discovery/EndpointDirectory.java
@@ -17,8 +17,8 @@
 import loadbalancer.net.MonotonicClock;
 
 /**
- * The endpoints of the last accepted list, with their ids, addresses and states. Confined to the
- * event loop.
+ * The endpoints of the last accepted complete list with all later accepted deltas applied, with
+ * their ids, addresses and states. Confined to the event loop.
  */
 public final class EndpointDirectory {
 
--- a/src/main/java/loadbalancer/upstream/ConnectionPool.java
+++ b/src/main/java/loadbalancer/upstream/ConnectionPool.java
@@ -152,7 +152,8 @@
       }
       connectingCalls.remove(call);
       if (call.isDone() || failure != null) {
-        // A call that was cancelled or timed out while connecting must not be written.
+        // Completes the call if connecting failed. A call that was cancelled or timed out while
+        // connecting has already completed, and its request must not be written.
         call.complete(AttemptStatus.CONNECT_FAILED, null);
         channel.close();
       } else if (!call.shouldBeSent()) {
--- a/src/main/java/loadbalancer/upstream/IdleConnections.java
+++ b/src/main/java/loadbalancer/upstream/IdleConnections.java
@@ -88,7 +88,10 @@
         && connection.hasNothingUnread();
   }
 
-  /** Records whether a connection that was reused after an idle time broke before its response. */
+  /**
+   * Records whether a connection that was reused after an idle time broke before the response to
+   * its call started.
+   */
   void recordReuse(long idleNanos, boolean hasBroken) {
     reusePolicy.recordReuse(System.nanoTime(), idleNanos, hasBroken);
   }
--- a/src/main/java/loadbalancer/upstream/ResponseFramingCheck.java
+++ b/src/main/java/loadbalancer/upstream/ResponseFramingCheck.java
@@ -10,8 +10,8 @@
 
 /**
  * Marks a response with status 200 as failed if it has neither a content length nor a chunked body.
- * The end of such a body is marked only by the end of the connection, which a crash of the upstream
- * causes as well, so a truncated body could not be distinguished from a complete one.
+ * Without either, only the end of the connection marks the end of the body. A crash of the upstream
+ * ends the connection as well, so a truncated body could not be distinguished from a complete one.
  */
 final class ResponseFramingCheck extends ChannelInboundHandlerAdapter {
 
--- a/src/main/java/loadbalancer/upstream/UpstreamConnection.java
+++ b/src/main/java/loadbalancer/upstream/UpstreamConnection.java
@@ -19,8 +19,8 @@
 
 /**
  * One connection to an endpoint and the call on it. This is the last handler of the connection's
- * pipeline. When a call completes with a usable response and the endpoint is ready, the connection
- * becomes idle; otherwise it is closed.
+ * pipeline. When a call completes with a well-formed response that permits keep-alive and the
+ * endpoint is ready, the connection becomes idle; otherwise it is closed.
  */
 final class UpstreamConnection extends SimpleChannelInboundHandler<FullHttpResponse> {
 
@@ -29,7 +29,7 @@
   /** The maximum number of 1xx responses before the final response. */
   private static final int MAX_INFORMATIONAL_RESPONSES = 16;
 
-  /** The value of {@link #idleBeforeCallNanos} for a connection that has not been reused. */
+  /** The value of {@link #idleBeforeCallNanos} if no reuse is to be recorded. */
   private static final long NOT_REUSED = -1;
 
   private final Channel channel;
@@ -46,7 +46,10 @@
   /** The {@link System#nanoTime()} at which the connection became idle. */
   private long idleSinceNanos;
 
-  /** The idle time before the current call, or {@link #NOT_REUSED} if none is to be recorded. */
+  /**
+   * The idle time before the current call, or {@link #NOT_REUSED} if the call is the first
+   * one or its outcome has been recorded.
+   */
   private long idleBeforeCallNanos = NOT_REUSED;
 
   private int informationalResponses;
--- a/src/main/java/loadbalancer/upstream/package-info.java
+++ b/src/main/java/loadbalancer/upstream/package-info.java
@@ -5,9 +5,11 @@
  *   <li>{@link loadbalancer.upstream.ConnectionPool} starts and cancels calls and opens
  *       connections.
  *   <li>{@code IdleConnections} owns the idle connections and selects the reusable ones with {@code
- *       IdleReusePolicy}, which limits the idle time, and {@code SecondResponseGuard}, which
- *       imposes a quiet period after each response.
+ *       IdleReusePolicy}, which learns after which idle times reused connections still work, and
+ *       {@code SecondResponseGuard}, which imposes a quiet period after each response.
  *   <li>{@code UpstreamConnection} owns one connection and the call on it.
+ *   <li>{@link loadbalancer.upstream.UpstreamChannel} is the TCP connection and can be checked for
+ *       unread data.
  *   <li>{@code ResponseStartCheck}, {@code ResponseDecoder}, {@code ResponseFramingCheck} and
  *       {@code ResponseAggregator} handle a response before {@code UpstreamConnection}, and {@code
  *       ResponseClassifier} maps it to an attempt status.
