--- a/src/main/java/loadbalancer/discovery/DiscoveryClient.java
+++ b/src/main/java/loadbalancer/discovery/DiscoveryClient.java
@@ -86,7 +86,8 @@
     }
     if (enabled) {
       currentWatch =
-          DiscoveryStream.watch(bootstrap, address, revision.getAsLong(), limits(), streamListener);
+          DiscoveryStream.newWatch(
+              bootstrap, address, revision.getAsLong(), limits(), streamListener);
       currentWatch.open();
     }
   }
@@ -107,7 +108,7 @@
 
   @Override
   public void fetch() {
-    DiscoveryStream.fetch(bootstrap, address, limits(), streamListener).open();
+    DiscoveryStream.newFetch(bootstrap, address, limits(), streamListener).open();
   }
 
   private StreamLimits limits() {
--- a/src/main/java/loadbalancer/discovery/DiscoveryStream.java
+++ b/src/main/java/loadbalancer/discovery/DiscoveryStream.java
@@ -81,13 +81,13 @@
   }
 
   /** Creates a call that requests the complete list once. */
-  static DiscoveryStream fetch(
+  static DiscoveryStream newFetch(
       Bootstrap bootstrap, InetSocketAddress address, StreamLimits limits, Listener listener) {
     return new DiscoveryStream(bootstrap, address, LIST_PATH, false, limits, listener);
   }
 
   /** Creates a call for the list, if it is newer than a revision, and for all later changes. */
-  static DiscoveryStream watch(
+  static DiscoveryStream newWatch(
       Bootstrap bootstrap,
       InetSocketAddress address,
       long sinceRevision,
--- a/src/main/java/loadbalancer/discovery/StartTimeEstimator.java
+++ b/src/main/java/loadbalancer/discovery/StartTimeEstimator.java
@@ -16,7 +16,7 @@
 final class StartTimeEstimator {
 
   /** A lower bound of discovery's clock minus this process's clock. Later starts may raise it. */
-  private long minOffsetNanos = Long.MIN_VALUE;
+  private long offsetLowerBoundNanos = Long.MIN_VALUE;
 
   /**
    * Records a stated start time.
@@ -27,7 +27,7 @@
   void observe(long statedUnixMillis, long nowNanos) {
     long statedNanos = TimeUnit.MILLISECONDS.toNanos(statedUnixMillis);
     if (statedNanos > 0 && statedNanos < Long.MAX_VALUE) {
-      minOffsetNanos = Math.max(minOffsetNanos, statedNanos - nowNanos);
+      offsetLowerBoundNanos = Math.max(offsetLowerBoundNanos, statedNanos - nowNanos);
     }
   }
 
@@ -47,6 +47,6 @@
     if (statedNanos == Long.MAX_VALUE) {
       return nowNanos; // The stated time is out of range.
     }
-    return Math.max(1, Math.max(notBeforeNanos, statedNanos - minOffsetNanos));
+    return Math.max(1, Math.max(notBeforeNanos, statedNanos - offsetLowerBoundNanos));
   }
 }
--- a/src/main/java/loadbalancer/upstream/ConnectionPool.java
+++ b/src/main/java/loadbalancer/upstream/ConnectionPool.java
@@ -45,14 +45,14 @@
    * @param descriptors the limit on open file descriptors, with which connections are registered
    * @param connectTimeoutNanos the maximum time to establish a connection
    * @param upstreamIdleNanos the idle time after which upstreams close connections
-   * @param isReady tests whether the endpoint with the given id accepts new requests
+   * @param isEndpointReady tests whether the endpoint with the given id accepts new requests
    */
   public ConnectionPool(
       Bootstrap bootstrap,
       DescriptorBudget descriptors,
       long connectTimeoutNanos,
       long upstreamIdleNanos,
-      LongPredicate isReady) {
+      LongPredicate isEndpointReady) {
     this.descriptors = descriptors;
     this.connectTimeoutNanos = connectTimeoutNanos;
     idleConnections = new IdleConnections(upstreamIdleNanos);
@@ -66,7 +66,7 @@
                 new ChannelInitializer<Channel>() {
                   @Override
                   protected void initChannel(Channel channel) {
-                    new UpstreamConnection(channel, idleConnections, isReady).addHandlers();
+                    new UpstreamConnection(channel, idleConnections, isEndpointReady).addHandlers();
                   }
                 });
     loop.scheduleWithFixedDelay(
--- a/src/main/java/loadbalancer/upstream/UpstreamConnection.java
+++ b/src/main/java/loadbalancer/upstream/UpstreamConnection.java
@@ -30,11 +30,11 @@
   private static final int MAX_INFORMATIONAL_RESPONSES = 16;
 
   /** The value of {@link #idleBeforeCallNanos} if no reuse is to be recorded. */
-  private static final long NOT_REUSED = -1;
+  private static final long NO_REUSE_TO_RECORD = -1;
 
   private final Channel channel;
   private final IdleConnections idleConnections;
-  private final LongPredicate isReady;
+  private final LongPredicate isEndpointReady;
   private final ResponseDecoder decoder = new ResponseDecoder();
   private final ResponseStartCheck startCheck = new ResponseStartCheck(this, decoder);
 
@@ -47,17 +47,18 @@
   private long idleSinceNanos;
 
   /**
-   * The idle time before the current call, or {@link #NOT_REUSED} if the call is the first
+   * The idle time before the current call, or {@link #NO_REUSE_TO_RECORD} if the call is the first
    * one or its outcome has been recorded.
    */
-  private long idleBeforeCallNanos = NOT_REUSED;
+  private long idleBeforeCallNanos = NO_REUSE_TO_RECORD;
 
   private int informationalResponses;
 
-  UpstreamConnection(Channel channel, IdleConnections idleConnections, LongPredicate isReady) {
+  UpstreamConnection(
+      Channel channel, IdleConnections idleConnections, LongPredicate isEndpointReady) {
     this.channel = channel;
     this.idleConnections = idleConnections;
-    this.isReady = isReady;
+    this.isEndpointReady = isEndpointReady;
   }
 
   /** Adds the handlers to the pipeline of the channel. */
@@ -176,7 +177,7 @@
         && completed.isWritten()
         && !completed.isDone()
         && HttpUtil.isKeepAlive(response)
-        && isReady.test(endpointId)) {
+        && isEndpointReady.test(endpointId)) {
       idleSinceNanos = System.nanoTime();
       idleConnections.add(this);
     } else {
@@ -199,9 +200,9 @@
   }
 
   private void recordReuse(boolean hasBroken) {
-    if (idleBeforeCallNanos != NOT_REUSED) {
+    if (idleBeforeCallNanos != NO_REUSE_TO_RECORD) {
       idleConnections.recordReuse(idleBeforeCallNanos, hasBroken);
-      idleBeforeCallNanos = NOT_REUSED;
+      idleBeforeCallNanos = NO_REUSE_TO_RECORD;
     }
   }
 
--- a/src/test/java/loadbalancer/discovery/DiscoveryRecoveryTest.java
+++ b/src/test/java/loadbalancer/discovery/DiscoveryRecoveryTest.java
@@ -130,7 +130,8 @@
     try {
       Map<FailingCall, Future<Long>> results = new EnumMap<>(FailingCall.class);
       for (FailingCall failingCall : FailingCall.values()) {
-        results.put(failingCall, executor.submit(() -> millisToUpdate(failingCall, 4, mode)));
+        results.put(
+            failingCall, executor.submit(() -> measureMillisToUpdate(failingCall, 4, mode)));
       }
       for (Map.Entry<FailingCall, Future<Long>> result : results.entrySet()) {
         long millis = result.getValue().get(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS);
@@ -143,7 +144,7 @@
     }
   }
 
-  private static long millisToUpdate(FailingCall failingCall, int failureCount, String mode)
+  private static long measureMillisToUpdate(FailingCall failingCall, int failureCount, String mode)
       throws Exception {
     AtomicInteger callCount = new AtomicInteger();
     AtomicLong lastFailureStartNanos = new AtomicLong();
@@ -176,11 +177,11 @@
   private static DecisionEngine recordingEngine(
       BalancerConfig config, BlockingQueue<EndpointListUpdate> fullUpdates) {
     DecisionEngine engine = new LoadBalancingEngine(config.settings(), config.seed());
-    return (nowNanos, event, actions) -> {
+    return (nowNanos, event, actionSink) -> {
       if (event instanceof EndpointListUpdate update && update.kind() == UpdateKind.FULL) {
         fullUpdates.add(update);
       }
-      engine.handle(nowNanos, event, actions);
+      engine.handle(nowNanos, event, actionSink);
     };
   }
 }
--- a/src/test/java/loadbalancer/discovery/DiscoveryTestSupport.java
+++ b/src/test/java/loadbalancer/discovery/DiscoveryTestSupport.java
@@ -35,15 +35,15 @@
 
   /** Returns an engine that only records its events. */
   static ScriptedEngine passiveEngine() {
-    return new ScriptedEngine((event, actions) -> {});
+    return new ScriptedEngine((event, actionSink) -> {});
   }
 
   /** Returns an engine that watches the endpoint list from its start. */
   static ScriptedEngine watchingEngine() {
     return new ScriptedEngine(
-        (event, actions) -> {
+        (event, actionSink) -> {
           if (event instanceof EndpointListUpdate update && update.kind() == UpdateKind.CACHED) {
-            actions.accept(new WatchEndpoints(true));
+            actionSink.accept(new WatchEndpoints(true));
           }
         });
   }
--- a/src/test/java/loadbalancer/discovery/DiscoveryWatchTest.java
+++ b/src/test/java/loadbalancer/discovery/DiscoveryWatchTest.java
@@ -129,10 +129,10 @@
   void fetchesTheListOnce() throws Exception {
     ScriptedEngine engine =
         new ScriptedEngine(
-            (event, actions) -> {
+            (event, actionSink) -> {
               if (event instanceof EndpointListUpdate update
                   && update.kind() == UpdateKind.CACHED) {
-                actions.accept(new FetchEndpoints());
+                actionSink.accept(new FetchEndpoints());
               }
             });
     String list = ProxyFixture.endpointListJson(50, true, READY_MEMBER);
--- a/src/test/java/loadbalancer/upstream/AttemptLimitTest.java
+++ b/src/test/java/loadbalancer/upstream/AttemptLimitTest.java
@@ -31,13 +31,13 @@
   void doesNotSendMoreAttemptsThanAllowed() throws Exception {
     ScriptedEngine engine =
         new ScriptedEngine(
-            (event, actions) -> {
+            (event, actionSink) -> {
               if (event instanceof RequestArrived request) {
-                actions.accept(new StartAttempt(request.requestId(), FIRST_ENDPOINT, 0));
-              } else if (event instanceof AttemptEnded ended && ended.attempt() < 6) {
-                actions.accept(new StartAttempt(ended.requestId(), FIRST_ENDPOINT, 0));
-              } else if (event instanceof AttemptEnded ended) {
-                actions.accept(new FailRequest(ended.requestId()));
+                actionSink.accept(new StartAttempt(request.requestId(), FIRST_ENDPOINT, 0));
+              } else if (event instanceof AttemptEnded attemptEnded && attemptEnded.attempt() < 6) {
+                actionSink.accept(new StartAttempt(attemptEnded.requestId(), FIRST_ENDPOINT, 0));
+              } else if (event instanceof AttemptEnded attemptEnded) {
+                actionSink.accept(new FailRequest(attemptEnded.requestId()));
               }
             });
     try (FakeServer upstream =
@@ -57,13 +57,14 @@
   void closesIdleConnectionsAtDescriptorLimitAndThenFailsAttempts() throws Exception {
     ScriptedEngine engine =
         new ScriptedEngine(
-            (event, actions) -> {
+            (event, actionSink) -> {
               if (event instanceof RequestArrived request) {
                 boolean isForSecondEndpoint = "true".equals(request.tenant());
                 long endpoint = isForSecondEndpoint ? SECOND_ENDPOINT : FIRST_ENDPOINT;
-                actions.accept(new StartAttempt(request.requestId(), endpoint, 0));
-              } else if (event instanceof AttemptEnded ended && !ended.isRequestAnswered()) {
-                actions.accept(new FailRequest(ended.requestId()));
+                actionSink.accept(new StartAttempt(request.requestId(), endpoint, 0));
+              } else if (event instanceof AttemptEnded attemptEnded
+                  && !attemptEnded.isRequestAnswered()) {
+                actionSink.accept(new FailRequest(attemptEnded.requestId()));
               }
             });
     CountDownLatch testDone = new CountDownLatch(1);
--- a/src/test/java/loadbalancer/upstream/HealthCheckTest.java
+++ b/src/test/java/loadbalancer/upstream/HealthCheckTest.java
@@ -27,11 +27,11 @@
     long endpoint = DiscoveryMessages.endpointId("s-1");
     ScriptedEngine engine =
         new ScriptedEngine(
-            (event, actions) -> {
+            (event, actionSink) -> {
               if (event instanceof RequestArrived request) {
-                actions.accept(new CheckHealth(endpoint));
-                actions.accept(new CloseIdleConnections(endpoint));
-                actions.accept(new FailRequest(request.requestId()));
+                actionSink.accept(new CheckHealth(endpoint));
+                actionSink.accept(new CloseIdleConnections(endpoint));
+                actionSink.accept(new FailRequest(request.requestId()));
               }
             });
     try (FakeServer upstream = FakeServer.respondingWith(FakeServer.ok("x"));
--- a/src/test/java/loadbalancer/upstream/ResponseParsingTest.java
+++ b/src/test/java/loadbalancer/upstream/ResponseParsingTest.java
@@ -56,9 +56,9 @@
         ProxyFixture proxy = new ProxyFixture(SingleEndpoint.config(upstream.address()), engine);
         Client client = proxy.client()) {
       String received = client.exchange(ProxyFixture.get("t", ""));
-      AttemptEnded ended = engine.awaitEvent(AttemptEnded.class);
-      assertEquals(status, ended.status());
-      assertEquals(status == AttemptStatus.SUCCESS, ended.isRequestAnswered());
+      AttemptEnded attemptEnded = engine.awaitEvent(AttemptEnded.class);
+      assertEquals(status, attemptEnded.status());
+      assertEquals(status == AttemptStatus.SUCCESS, attemptEnded.isRequestAnswered());
       boolean isExpectedResponse =
           status == AttemptStatus.SUCCESS
               ? received.startsWith("HTTP/1.1 200 ") && received.endsWith("\r\n\r\nok")
--- a/src/test/java/loadbalancer/upstream/WithdrawnAttemptTest.java
+++ b/src/test/java/loadbalancer/upstream/WithdrawnAttemptTest.java
@@ -45,11 +45,11 @@
   /** Returns an engine that starts an attempt per request and cancels it on client disconnect. */
   private static ScriptedEngine cancellingEngine() {
     return new ScriptedEngine(
-        (event, actions) -> {
+        (event, actionSink) -> {
           if (event instanceof RequestArrived request) {
-            actions.accept(new StartAttempt(request.requestId(), ENDPOINT, 0));
+            actionSink.accept(new StartAttempt(request.requestId(), ENDPOINT, 0));
           } else if (event instanceof ClientDisconnected disconnected) {
-            actions.accept(new CancelAttempt(disconnected.requestId(), 0));
+            actionSink.accept(new CancelAttempt(disconnected.requestId(), 0));
           }
         });
   }
@@ -69,14 +69,14 @@
                 })) {
       ScriptedEngine engine =
           new ScriptedEngine(
-              (event, actions) -> {
+              (event, actionSink) -> {
                 if (event instanceof EndpointListUpdate update
                     && update.kind() == UpdateKind.CACHED) {
-                  actions.accept(new WatchEndpoints(true));
+                  actionSink.accept(new WatchEndpoints(true));
                 } else if (event instanceof RequestArrived request) {
-                  actions.accept(new StartAttempt(request.requestId(), ENDPOINT, 0));
-                } else if (event instanceof AttemptEnded ended) {
-                  actions.accept(new FailRequest(ended.requestId()));
+                  actionSink.accept(new StartAttempt(request.requestId(), ENDPOINT, 0));
+                } else if (event instanceof AttemptEnded attemptEnded) {
+                  actionSink.accept(new FailRequest(attemptEnded.requestId()));
                 }
               });
       BalancerConfig config =
@@ -120,14 +120,15 @@
         UnresponsiveUpstream lateUpstream = new UnresponsiveUpstream()) {
       ScriptedEngine engine =
           new ScriptedEngine(
-              (event, actions) -> {
+              (event, actionSink) -> {
                 if (event instanceof RequestArrived request) {
-                  actions.accept(new StartAttempt(request.requestId(), ENDPOINT, 0));
-                } else if (event instanceof AttemptEnded ended && ended.attempt() == 0) {
+                  actionSink.accept(new StartAttempt(request.requestId(), ENDPOINT, 0));
+                } else if (event instanceof AttemptEnded attemptEnded
+                    && attemptEnded.attempt() == 0) {
                   long otherEndpoint = DiscoveryMessages.endpointId("s-2");
-                  actions.accept(new StartAttempt(ended.requestId(), otherEndpoint, 0));
-                } else if (event instanceof AttemptEnded ended) {
-                  actions.accept(new FailRequest(ended.requestId()));
+                  actionSink.accept(new StartAttempt(attemptEnded.requestId(), otherEndpoint, 0));
+                } else if (event instanceof AttemptEnded attemptEnded) {
+                  actionSink.accept(new FailRequest(attemptEnded.requestId()));
                 }
               });
       String list =
@@ -175,15 +176,15 @@
       List<String> requestIds = new ArrayList<>();
       ScriptedEngine engine =
           new ScriptedEngine(
-              (event, actions) -> {
+              (event, actionSink) -> {
                 if (event instanceof RequestArrived request) {
                   requestIds.add(request.requestId());
-                  actions.accept(new WatchEndpoints(true));
+                  actionSink.accept(new WatchEndpoints(true));
                 } else if (event instanceof EndpointListUpdate update
                     && update.kind() == UpdateKind.DELTA) {
-                  actions.accept(new StartAttempt(requestIds.get(0), ENDPOINT, 0));
-                } else if (event instanceof AttemptEnded ended) {
-                  actions.accept(new FailRequest(ended.requestId()));
+                  actionSink.accept(new StartAttempt(requestIds.get(0), ENDPOINT, 0));
+                } else if (event instanceof AttemptEnded attemptEnded) {
+                  actionSink.accept(new FailRequest(attemptEnded.requestId()));
                 }
               });
       BalancerConfig config = SingleEndpoint.config(discovery.address(), upstream.address());
