--- a/src/main/java/loadbalancer/upstream/UpstreamConnection.java
+++ b/src/main/java/loadbalancer/upstream/UpstreamConnection.java
@@ -19,8 +19,8 @@
 
 /**
  * One connection to an endpoint and the call on it. This is the last handler of the connection's
- * pipeline. When a call completes with a usable response and the endpoint is ready, the connection
- * becomes idle; otherwise it is closed.
+ * pipeline. When a call completes with a well-formed response that permits keep-alive and the
+ * endpoint is ready, the connection becomes idle; otherwise it is closed.
  */
 final class UpstreamConnection extends SimpleChannelInboundHandler<FullHttpResponse> {
 
@@ -29,12 +29,12 @@
   /** The maximum number of 1xx responses before the final response. */
   private static final int MAX_INFORMATIONAL_RESPONSES = 16;
 
-  /** The value of {@link #idleBeforeCallNanos} for a connection that has not been reused. */
-  private static final long NOT_REUSED = -1;
+  /** The value of {@link #idleBeforeCallNanos} if no reuse is to be recorded. */
+  private static final long NO_REUSE_TO_RECORD = -1;
 
   private final Channel channel;
   private final IdleConnections idleConnections;
-  private final LongPredicate isReady;
+  private final LongPredicate isEndpointReady;
   private final ResponseDecoder decoder = new ResponseDecoder();
   private final ResponseStartCheck startCheck = new ResponseStartCheck(this, decoder);
 
@@ -46,15 +46,19 @@
   /** The {@link System#nanoTime()} at which the connection became idle. */
   private long idleSinceNanos;
 
-  /** The idle time before the current call, or {@link #NOT_REUSED} if none is to be recorded. */
-  private long idleBeforeCallNanos = NOT_REUSED;
+  /**
+   * The idle time before the current call, or {@link #NO_REUSE_TO_RECORD} if the call is the first
+   * one or its outcome has been recorded.
+   */
+  private long idleBeforeCallNanos = NO_REUSE_TO_RECORD;
 
   private int informationalResponses;
 
-  UpstreamConnection(Channel channel, IdleConnections idleConnections, LongPredicate isReady) {
+  UpstreamConnection(
+      Channel channel, IdleConnections idleConnections, LongPredicate isEndpointReady) {
     this.channel = channel;
     this.idleConnections = idleConnections;
-    this.isReady = isReady;
+    this.isEndpointReady = isEndpointReady;
   }
 
   /** Adds the handlers to the pipeline of the channel. */
@@ -173,7 +177,7 @@
         && completed.isWritten()
         && !completed.isDone()
         && HttpUtil.isKeepAlive(response)
-        && isReady.test(endpointId)) {
+        && isEndpointReady.test(endpointId)) {
       idleSinceNanos = System.nanoTime();
       idleConnections.add(this);
     } else {
@@ -196,9 +200,9 @@
   }
 
   private void recordReuse(boolean hasBroken) {
-    if (idleBeforeCallNanos != NOT_REUSED) {
+    if (idleBeforeCallNanos != NO_REUSE_TO_RECORD) {
       idleConnections.recordReuse(idleBeforeCallNanos, hasBroken);
-      idleBeforeCallNanos = NOT_REUSED;
+      idleBeforeCallNanos = NO_REUSE_TO_RECORD;
     }
   }
 
