--- a/src/main/java/loadbalancer/decision/BoundedLoadBalancer.java
+++ b/src/main/java/loadbalancer/decision/BoundedLoadBalancer.java
@@ -54,7 +54,7 @@
     long hash =
         key == null ? context.random.nextLong() : HashRing.mix(HashRing.mix(key.hashCode()));
     int readyCount = registry.ready.length;
-    HashRing.Walk walk = registry.ring.walk(hash);
+    HashRing.Walk walk = registry.ring.walkFrom(hash);
     double maxLocalCandidates = maxLocalCandidates(request, readyCount);
     TrackedEndpoint slowLocal = null;
     TrackedEndpoint remote = null;
@@ -120,9 +120,11 @@
     return Math.max(minBound, Math.min(Math.ceil(scaledBound), capacity(endpoint)));
   }
 
-  // Estimates an endpoint's capacity by Little's law: responses a second times the wanted latency.
-  // This limits bursts, which would queue before the rate limiter sees higher latencies. Without
-  // enough responses the capacity is unbounded, or a restarted endpoint would get no requests.
+  // Estimates an endpoint's capacity by Little's law: its rate of successful responses, weighted by
+  // load, times CAPACITY_LATENCY of their objectives. This limits bursts, which would queue before
+  // the rate limiter sees higher latencies. The capacity of an endpoint whose first success is less
+  // than a quarter of a window ago, or still to come, is unbounded until it has enough responses;
+  // otherwise an endpoint that is new to this instance would be held at the minimum.
   private double capacity(TrackedEndpoint endpoint) {
     SlidingWindow responses = endpoint.responses;
     long age = context.now - endpoint.firstSuccessAt;
--- a/src/main/java/loadbalancer/decision/DecisionContext.java
+++ b/src/main/java/loadbalancer/decision/DecisionContext.java
@@ -11,7 +11,8 @@
 
   static final long SECOND_NANOS = 1_000_000_000L;
 
-  // Length of a window in longest latency objectives, which gives enough samples for a mean.
+  // Length of a window as a multiple of the longest latency objective, so that its means have
+  // enough samples. A window lasts at least a second.
   private static final double WINDOW_OBJECTIVES = 2;
 
   // Number of sweeps in the shortest latency objective, so that late attempts are noticed soon.
--- a/src/main/java/loadbalancer/decision/EndpointRegistry.java
+++ b/src/main/java/loadbalancer/decision/EndpointRegistry.java
@@ -21,10 +21,11 @@
   private static final int POINTS_PER_ENDPOINT = 100;
   private static final double MAX_WEIGHT = 4; // in median weights; the minimum is the inverse
 
-  // Read by other components, written only here.
+  // Other components read these fields; only this class changes them.
   TrackedEndpoint[] ready = {}; // the members of the ring, sorted by id
   final HashRing ring = new HashRing();
   double readyLoad; // load of the attempts in flight at ready endpoints, in mean requests
+
   final OutlierDetector outliers;
   final SlowStart slowStart;
 
@@ -102,7 +103,8 @@
       }
     }
     if (joining.isEmpty() && leaving.isEmpty()) {
-      return; // Most updates do not change the ring.
+      // Most updates leave the members as they are. A changed weight waits until they change.
+      return;
     }
     TrackedEndpoint[] staying =
         Arrays.stream(ready).filter(TrackedEndpoint::isReady).toArray(TrackedEndpoint[]::new);
--- a/src/main/java/loadbalancer/decision/HashRing.java
+++ b/src/main/java/loadbalancer/decision/HashRing.java
@@ -141,7 +141,7 @@
   }
 
   /** Returns a walk that starts at the position of a hash; the ring must not change meanwhile. */
-  Walk walk(long hash) {
+  Walk walkFrom(long hash) {
     return new Walk(hash);
   }
 
--- a/src/main/java/loadbalancer/decision/IdempotencePolicy.java
+++ b/src/main/java/loadbalancer/decision/IdempotencePolicy.java
@@ -37,8 +37,8 @@
             || (scope == DedupScope.CELL && first.cell() == endpoint.cell());
     // The window is one tick shorter, because an attempt may be sent up to a tick after it is
     // decided on.
-    long window = type.dedupWindowNanos() - context.settings.tickNanos();
-    return recognised && context.now - earlier.startedAt < window;
+    long retryWindowNanos = type.dedupWindowNanos() - context.settings.tickNanos();
+    return recognised && context.now - earlier.startedAt < retryWindowNanos;
   }
 
   /** Returns whether a request may have run and, not being idempotent, must not run again. */
--- a/src/main/java/loadbalancer/decision/KeyedWindows.java
+++ b/src/main/java/loadbalancer/decision/KeyedWindows.java
@@ -23,13 +23,13 @@
   SlidingWindow get(String key) {
     SlidingWindow window =
         windows.computeIfAbsent(key, k -> new SlidingWindow(context.windowNanos, context.now));
-    Iterator<SlidingWindow> eldest = windows.values().iterator();
+    Iterator<SlidingWindow> leastRecentFirst = windows.values().iterator();
     for (int i = 0; i < EVICTION_CHECKS_PER_LOOKUP && windows.size() > 1; i++) {
       // An idle window has the same totals as a new one, so its eviction changes no decision.
-      if (!eldest.next().isIdle(context.now) && windows.size() <= MAX_KEYS) {
+      if (!leastRecentFirst.next().isIdle(context.now) && windows.size() <= MAX_KEYS) {
         break;
       }
-      eldest.remove();
+      leastRecentFirst.remove();
     }
     return window;
   }
--- a/src/main/java/loadbalancer/decision/RequestLifecycle.java
+++ b/src/main/java/loadbalancer/decision/RequestLifecycle.java
@@ -196,8 +196,9 @@
     return new Action.RejectRequest(request.id(), retryAfter);
   }
 
-  // Marks a request as answered and takes it out of the queue. Removes it if no attempt is in
-  // flight; else cancels its attempts, if the deployment permits that, and their ends remove it.
+  // Marks a request as answered and removes it from the queue. Without an attempt in flight, it
+  // leaves inFlight at once. Otherwise its attempts are cancelled, if the deployment permits that,
+  // and it leaves inFlight when the last of them ends.
   private void release(InFlightRequest request) {
     request.answered = true;
     queue.remove(request);
--- a/src/test/java/loadbalancer/decision/AdmissionFloorTest.java
+++ b/src/test/java/loadbalancer/decision/AdmissionFloorTest.java
@@ -52,7 +52,7 @@
     for (long end = driver.now + 60_000 * EngineDriver.MS; driver.now < end; ) {
       String id = driver.nextRequestId();
       boolean rejected =
-          EngineDriver.contains(
+          EngineDriver.containsKind(
               driver.handle(
                   new RequestArrived(id, "c", null, id, driver.now + 4 * objective, 0, false)),
               RejectRequest.class);
--- a/src/test/java/loadbalancer/decision/EngineDriver.java
+++ b/src/test/java/loadbalancer/decision/EngineDriver.java
@@ -205,7 +205,7 @@
         .orElse(-1);
   }
 
-  static boolean contains(List<Action> actions, Class<? extends Action> kind) {
+  static boolean containsKind(List<Action> actions, Class<? extends Action> kind) {
     return actions.stream().anyMatch(kind::isInstance);
   }
 }
--- a/src/test/java/loadbalancer/decision/OutlierDetectorTest.java
+++ b/src/test/java/loadbalancer/decision/OutlierDetectorTest.java
@@ -2,7 +2,7 @@
 
 import static loadbalancer.decision.EngineDriver.MS;
 import static loadbalancer.decision.EngineDriver.attemptedEndpoint;
-import static loadbalancer.decision.EngineDriver.contains;
+import static loadbalancer.decision.EngineDriver.containsKind;
 import static loadbalancer.decision.EngineDriver.idempotentSettings;
 import static loadbalancer.decision.EngineDriver.requestClass;
 import static loadbalancer.decision.EngineDriver.settings;
@@ -89,7 +89,7 @@
     assertNotEquals(frozen, driver.serve("k1", 10 * MS));
     List<Action> end =
         driver.endAttempt(id, hedges.get(0).endpointId(), AttemptStatus.SUCCESS, 10 * MS);
-    assertTrue(contains(end, CancelAttempt.class), "the slower attempt is not cancelled");
+    assertTrue(containsKind(end, CancelAttempt.class), "the slower attempt is not cancelled");
   }
 
   /** If few quick responses set the mean gap, a heavier request would look like silence. */
--- a/src/test/java/loadbalancer/decision/RequestLifecycleTest.java
+++ b/src/test/java/loadbalancer/decision/RequestLifecycleTest.java
@@ -2,7 +2,7 @@
 
 import static loadbalancer.decision.EngineDriver.MS;
 import static loadbalancer.decision.EngineDriver.attemptedEndpoint;
-import static loadbalancer.decision.EngineDriver.contains;
+import static loadbalancer.decision.EngineDriver.containsKind;
 import static loadbalancer.decision.EngineDriver.idempotentSettings;
 import static loadbalancer.decision.EngineDriver.readyEndpoint;
 import static loadbalancer.decision.EngineDriver.requestClass;
@@ -34,7 +34,7 @@
     EngineDriver driver = new EngineDriver(idempotentSettings());
     driver.updateEndpoints(UpdateKind.CACHED);
     assertTrue(driver.request("r", "c", "k").stream().noneMatch(a -> a instanceof StartAttempt));
-    assertTrue(contains(driver.advance(2000 * MS), RejectRequest.class));
+    assertTrue(containsKind(driver.advance(2000 * MS), RejectRequest.class));
   }
 
   @Test
@@ -47,7 +47,7 @@
       endpoint = attemptedEndpoint(driver.endAttempt("r", endpoint, AttemptStatus.REJECTED, MS));
     }
     assertEquals(4, attempts);
-    assertFalse(contains(driver.advance(3000 * MS), StartAttempt.class));
+    assertFalse(containsKind(driver.advance(3000 * MS), StartAttempt.class));
   }
 
   /** Guards against a retry storm when every attempt fails. */
@@ -73,19 +73,20 @@
         new EngineDriver(
             settings(true, List.of(), requestClass("c", Idempotence.IDEMPOTENT, DedupScope.ALL)));
     assertTrue(
-        contains(
+        containsKind(
             driver.updateEndpoints(UpdateKind.CACHED, readyEndpoint(1)), WatchEndpoints.class));
     for (int i = 0; i < 8; i++) {
       driver.updateEndpoints(UpdateKind.FAILED);
       assertTrue(
-          contains(driver.advance(1100 * MS), WatchEndpoints.class),
+          containsKind(driver.advance(1100 * MS), WatchEndpoints.class),
           "no watch within 1.1 s after a failure");
     }
     assertFalse(
-        contains(
+        containsKind(
             driver.updateEndpoints(UpdateKind.FULL, readyEndpoint(1), readyEndpoint(2)),
             WatchEndpoints.class));
-    assertFalse(contains(driver.advance(9000 * MS), WatchEndpoints.class), "watches a second time");
+    assertFalse(
+        containsKind(driver.advance(9000 * MS), WatchEndpoints.class), "watches a second time");
   }
 
   @Test
--- a/src/test/java/loadbalancer/decision/ServiceContractTest.java
+++ b/src/test/java/loadbalancer/decision/ServiceContractTest.java
@@ -37,8 +37,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Plays random valid events with random settings and checks the actions against the service
- * contract without knowledge of the engine's decisions.
+ * Feeds random valid events to engines with random settings and checks the actions against the
+ * service contract alone, however the engine decides within it.
  */
 class ServiceContractTest {
 
@@ -189,7 +189,7 @@
         MS);
   }
 
-  /** Gives an endpoint a random state and returns its new entry. */
+  /** Gives an endpoint a random state, start and weight, and returns its new list entry. */
   private Endpoint changeEndpoint(long id) {
     EndpointState state =
         random.nextInt(3) > 0
--- a/src/test/java/loadbalancer/decision/SlowStartFleetTest.java
+++ b/src/test/java/loadbalancer/decision/SlowStartFleetTest.java
@@ -140,8 +140,8 @@
       for (int instance = 0; instance < instanceCount; instance++) {
         shares[instance] /= sum;
       }
-      for (int endpoint = 0; endpoint < ENDPOINTS; endpoint++) {
-        endpointList.add(new Endpoint(100 + endpoint, "a", 0, EndpointState.READY, 0, 1));
+      for (int endpointIndex = 0; endpointIndex < ENDPOINTS; endpointIndex++) {
+        endpointList.add(new Endpoint(100 + endpointIndex, "a", 0, EndpointState.READY, 0, 1));
       }
       for (int instance = 0; instance < instanceCount; instance++) {
         restartInstance(instance);
@@ -229,9 +229,9 @@
 
     /** Restarts the first endpoints of the list and notifies all instances. */
     void restartEndpoints(int warmingCount) {
-      for (int endpoint = 0; endpoint < warmingCount; endpoint++) {
+      for (int endpointIndex = 0; endpointIndex < warmingCount; endpointIndex++) {
         endpointList.set(
-            endpoint, new Endpoint(100 + endpoint, "a", 0, EndpointState.READY, now, 1));
+            endpointIndex, new Endpoint(100 + endpointIndex, "a", 0, EndpointState.READY, now, 1));
       }
       for (int instance = 0; instance < instanceCount; instance++) {
         handle(instance, new EndpointListUpdate(UpdateKind.FULL, List.copyOf(endpointList)));
@@ -242,9 +242,9 @@
      * Returns by how many the attempts in the worst window exceed the budget plus a margin for
      * random variation.
      */
-    double excess(int endpoint, long startedAt) {
+    double excess(int endpointIndex, long startedAt) {
       List<Long> times =
-          attempts.getOrDefault(100L + endpoint, List.of()).stream()
+          attempts.getOrDefault(100L + endpointIndex, List.of()).stream()
               .filter(t -> t >= startedAt)
               .toList();
       double worstExcess = Double.NEGATIVE_INFINITY;
@@ -287,11 +287,11 @@
             + fleet.quota
             + " a second for each";
     long attempts = 0;
-    for (int endpoint = 0; endpoint < warmingCount; endpoint++) {
-      double excess = fleet.excess(endpoint, startedAt);
+    for (int endpointIndex = 0; endpointIndex < warmingCount; endpointIndex++) {
+      double excess = fleet.excess(endpointIndex, startedAt);
       assertTrue(excess <= 0, message + ": attempts beyond the budget: " + excess);
       attempts +=
-          fleet.attempts.getOrDefault(100L + endpoint, List.of()).stream()
+          fleet.attempts.getOrDefault(100L + endpointIndex, List.of()).stream()
               .filter(t -> t >= startedAt)
               .count();
     }
@@ -325,8 +325,8 @@
   }
 
   /**
-   * When traffic rises from a tenth of the usual to a surge, the tokens that the instances saved
-   * meanwhile must not be spent all at once.
+   * When traffic rises from a tenth of the usual to a surge, the instances must not spend at once
+   * the slow-start tokens that they saved during the light traffic.
    */
   @ParameterizedTest
   @ValueSource(ints = {1, 4, 30, 120})
