--- a/src/main/java/loadbalancer/http/HttpProtocol.java
+++ b/src/main/java/loadbalancer/http/HttpProtocol.java
@@ -27,7 +27,10 @@
   /** Marks a client's retry of an earlier request, with the value 1. */
   public static final String RETRY_HEADER = "X-Second-Try";
 
-  /** The work that the request is expected to cost, in whole microseconds. */
+  /**
+   * The processing time that the request is expected to take on a standard core, in whole
+   * microseconds.
+   */
   public static final String WORK_HINT_HEADER = "X-Size-Hint";
 
   /** The key by which upstreams recognise and drop the retry of a request that has run. */
--- a/src/main/java/loadbalancer/json/JsonFields.java
+++ b/src/main/java/loadbalancer/json/JsonFields.java
@@ -27,7 +27,8 @@
    * Parses a text that consists of one JSON object.
    *
    * @param name the name of the object in error messages, which is the root of the paths
-   * @throws MalformedInputException if the text is not one JSON object
+   * @throws MalformedInputException if the text is not exactly one JSON object, or contains a whole
+   *     number that does not fit 64 bits
    */
   public static JsonFields parse(JsonFactory factory, String name, String text) {
     return asObject(name, JsonTextReader.read(factory, name, text));
--- a/src/main/java/loadbalancer/json/JsonTextReader.java
+++ b/src/main/java/loadbalancer/json/JsonTextReader.java
@@ -23,7 +23,8 @@
    * Reads a text that consists of one value.
    *
    * @param name the name of the value in error messages
-   * @throws MalformedInputException if the text is not exactly one JSON value
+   * @throws MalformedInputException if the text is not exactly one JSON value, or contains a whole
+   *     number that does not fit 64 bits
    */
   static Object read(JsonFactory factory, String name, String text) {
     try (JsonParser parser = factory.createParser(text)) {
--- a/src/main/java/loadbalancer/json/MalformedInputException.java
+++ b/src/main/java/loadbalancer/json/MalformedInputException.java
@@ -1,8 +1,8 @@
 package loadbalancer.json;
 
 /**
- * Thrown for input that does not have the required form. The message says in one line what is wrong
- * and where; {@link #path}, {@link #expected} and {@link #actual} return its parts, where known.
+ * Thrown for input that does not have the required form. The message says what is wrong and where;
+ * {@link #path}, {@link #expected} and {@link #actual} return its parts, where known.
  */
 public final class MalformedInputException extends RuntimeException {
 
@@ -12,7 +12,7 @@
   private final String expected;
   private final String actual;
 
-  /** Creates an exception for a problem that belongs to no single field. */
+  /** Creates an exception for a problem that is not attributed to a field. */
   public MalformedInputException(String problem) {
     this(problem, null, null, null, null);
   }
@@ -62,7 +62,7 @@
     return value instanceof String ? "\"" + value + "\"" : value.toString();
   }
 
-  /** Returns the path of the field at fault; null if the problem belongs to no single field. */
+  /** Returns the path of the field at fault; null if the problem is not attributed to a field. */
   public String path() {
     return path;
   }
--- a/src/main/java/loadbalancer/simulator/EventDecoder.java
+++ b/src/main/java/loadbalancer/simulator/EventDecoder.java
@@ -51,7 +51,8 @@
    * Decodes an event.
    *
    * @param name the message's name; messages that start or end an instance are not events
-   * @throws MalformedInputException if the event is unknown or a field has the wrong type
+   * @throws MalformedInputException if the event is unknown, a required field is absent or a value
+   *     is invalid
    */
   static Event decode(String name, JsonFields fields) {
     return switch (name) {
--- a/src/main/java/loadbalancer/simulator/SimulateCommand.java
+++ b/src/main/java/loadbalancer/simulator/SimulateCommand.java
@@ -17,7 +17,7 @@
    * Replies to batches until the input ends.
    *
    * @return the exit status: 0 at the end of the input, 1 for malformed input, which is described
-   *     in one line on {@code err}
+   *     on {@code err}
    */
   public static int run(InputStream in, PrintStream out, PrintStream err) throws IOException {
     try {
--- a/src/main/java/loadbalancer/telemetry/EventLoopLagMonitor.java
+++ b/src/main/java/loadbalancer/telemetry/EventLoopLagMonitor.java
@@ -23,8 +23,8 @@
   private boolean isTickLate;
 
   /**
-   * Starts a periodic tick on the event loop, which reads its sockets shortly before each tick that
-   * is on time.
+   * Starts a periodic tick on the event loop. The loop reads its sockets before it runs the timers
+   * that are due, so a tick on time shows that no request has waited unread for long.
    */
   public EventLoopLagMonitor(EventLoop loop, MonotonicClock clock) {
     this.loop = loop;
--- a/src/main/java/loadbalancer/telemetry/LogValues.java
+++ b/src/main/java/loadbalancer/telemetry/LogValues.java
@@ -7,7 +7,10 @@
 
   private LogValues() {}
 
-  /** Returns a text unchanged if it is one plain word, and {@linkplain #quote quoted} otherwise. */
+  /**
+   * Returns a text {@linkplain #quote quoted} if it is empty or contains a space, a control
+   * character, a double quote, a backslash, an equals sign or a comma, and unchanged otherwise.
+   */
   public static String quoteIfNeeded(String text) {
     for (int i = 0; i < text.length(); i++) {
       char character = text.charAt(i);
--- a/src/test/java/loadbalancer/simulator/DecisionRecordingTest.java
+++ b/src/test/java/loadbalancer/simulator/DecisionRecordingTest.java
@@ -113,8 +113,8 @@
   }
 
   /**
-   * Checks that the recordings contain each category at least this often; {@link RecordingCoverage}
-   * defines the categories.
+   * Checks that each category of settings, events and decisions that {@link RecordingCoverage}
+   * counts occurs in the recordings at least the given number of times.
    */
   @ParameterizedTest
   @CsvSource({
--- a/src/test/java/loadbalancer/simulator/RecordingCoverage.java
+++ b/src/test/java/loadbalancer/simulator/RecordingCoverage.java
@@ -299,7 +299,10 @@
     }
   }
 
-  /** An endpoint and its number of consecutive failures. */
+  /**
+   * An endpoint's listed state, its start time, its consecutive failures, and the number of
+   * attempts on other endpoints since these failures ejected it.
+   */
   private static final class Endpoint {
     String state = "up";
     long stateSinceNanos;
--- a/src/test/java/loadbalancer/simulator/ScenarioSettingsBuilder.java
+++ b/src/test/java/loadbalancer/simulator/ScenarioSettingsBuilder.java
@@ -19,8 +19,8 @@
   private boolean hasRetryAfter = true;
 
   /**
-   * Adds a class of requests. The effect "deduplicated zone 400" also names the scope and the
-   * window in milliseconds.
+   * Adds a class of requests. For a deduplicated class, the effect also states the scope of
+   * deduplication and its window in milliseconds, as in "deduplicated zone 400".
    */
   ScenarioSettingsBuilder addClass(
       String name, String effect, int objectiveMillis, int deadlineMillis, int priorityWeight) {
