--- a/soak/src/main/c/system_call_faults.c
+++ b/soak/src/main/c/system_call_faults.c
@@ -34,7 +34,7 @@
   _Atomic int32_t per_million; /* probability that a call fails while remaining is 0, per million */
   _Atomic int32_t error;       /* errno of a failing call; 0: limit reads and writes instead */
   _Atomic int32_t bytes;       /* maximum bytes of a limited read or write */
-  _Atomic int64_t injected;    /* number of calls that this rule has affected */
+  _Atomic int64_t injected;    /* number of calls made to fail or limited */
 };
 
 struct control {
--- a/soak/src/main/java/loadbalancer/soak/Deployment.java
+++ b/soak/src/main/java/loadbalancer/soak/Deployment.java
@@ -87,7 +87,7 @@
         descriptors);
   }
 
-  RequestKind kind(String name) {
+  RequestKind requestKind(String name) {
     return kinds.stream().filter(kind -> kind.name().equals(name)).findFirst().orElseThrow();
   }
 
--- a/soak/src/main/java/loadbalancer/soak/EndpointFleet.java
+++ b/soak/src/main/java/loadbalancer/soak/EndpointFleet.java
@@ -16,7 +16,7 @@
   private final AttemptLog attempts;
   private final IntConsumer onPublish;
   private final List<FakeUpstream> all = new ArrayList<>();
-  private final List<FakeUpstream> serving = new ArrayList<>();
+  private final List<FakeUpstream> unreserved = new ArrayList<>();
   private int nextNumber;
 
   /**
@@ -45,7 +45,7 @@
         new FakeUpstream(group.next(), "s" + number, attempts, LATENCY_MILLIS, number);
     upstream.start(startedUnixMillis);
     all.add(upstream);
-    serving.add(upstream);
+    unreserved.add(upstream);
     publish(upstream, EndpointEntry.Phase.READY, startedUnixMillis);
     return upstream;
   }
@@ -55,21 +55,21 @@
         catalogue.add(new EndpointEntry(upstream.name(), upstream.address(), phase, started)));
   }
 
-  /** Removes an upstream from the serving ones and returns it; null if too few are serving. */
-  private synchronized FakeUpstream removeFromServing(int target) {
-    if (serving.size() <= all.size() / 2 || serving.size() < 3) {
+  /** Reserves an upstream for one disruption and returns it; null if too few are unreserved. */
+  private synchronized FakeUpstream tryReserve(int target) {
+    if (unreserved.size() <= all.size() / 2 || unreserved.size() < 3) {
       return null;
     }
-    return serving.remove(target % serving.size());
+    return unreserved.remove(target % unreserved.size());
   }
 
-  private synchronized void returnToServing(FakeUpstream upstream) {
-    serving.add(upstream);
+  private synchronized void release(FakeUpstream upstream) {
+    unreserved.add(upstream);
   }
 
   /** Drains and removes an upstream, then adds a new one. */
   void replace(int target) throws InterruptedException {
-    FakeUpstream leaving = removeFromServing(target);
+    FakeUpstream leaving = tryReserve(target);
     if (leaving == null) {
       return;
     }
@@ -85,7 +85,7 @@
 
   /** Kills an upstream and restarts it after a time, so that it has to warm up. */
   void restart(int target, long downMillis) throws InterruptedException {
-    FakeUpstream upstream = removeFromServing(target);
+    FakeUpstream upstream = tryReserve(target);
     if (upstream != null) {
       upstream.kill();
       Thread.sleep(downMillis);
@@ -93,18 +93,18 @@
       long now = System.currentTimeMillis();
       upstream.start(now);
       publish(upstream, EndpointEntry.Phase.READY, now);
-      returnToServing(upstream);
+      release(upstream);
     }
   }
 
   /** Switches an upstream to a mode for a time. */
   void runInMode(int target, FakeUpstream.Mode mode, long millis) throws InterruptedException {
-    FakeUpstream upstream = removeFromServing(target);
+    FakeUpstream upstream = tryReserve(target);
     if (upstream != null) {
       upstream.setMode(mode);
       Thread.sleep(millis);
       upstream.setMode(FakeUpstream.Mode.SERVING);
-      returnToServing(upstream);
+      release(upstream);
     }
   }
 
--- a/soak/src/main/java/loadbalancer/soak/FakeUpstream.java
+++ b/soak/src/main/java/loadbalancer/soak/FakeUpstream.java
@@ -17,12 +17,13 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A simulated upstream server. It logs the requests that reach it and responds according to its
- * mode. It runs on one event loop; callers may use any thread.
+ * A simulated upstream server. It logs the requests that have a trace id and responds to them
+ * according to its mode; to all others, such as health checks, it responds with status 200. It runs
+ * on one event loop; callers may use any thread.
  */
 final class FakeUpstream implements AutoCloseable {
 
-  /** The behavior of an upstream towards the requests that it receives. */
+  /** The behavior of an upstream towards requests that have a trace id. */
   enum Mode {
     /** Responds with status 200. */
     SERVING,
@@ -41,7 +42,7 @@
   }
 
   private static final int MAX_REQUEST_BYTES = 1 << 17;
-  private static final int MAX_REPEAT_DELAY_MILLIS = 5;
+  private static final int MAX_SECOND_RESPONSE_DELAY_MILLIS = 5;
 
   private final EventLoop loop;
   private final String name;
@@ -191,7 +192,7 @@
         }
         case REPEATING -> {
           write(channel, ok);
-          writeLater(channel, 1 + random.nextInt(MAX_REPEAT_DELAY_MILLIS), ok);
+          writeLater(channel, 1 + random.nextInt(MAX_SECOND_RESPONSE_DELAY_MILLIS), ok);
         }
       }
     }
--- a/soak/src/main/java/loadbalancer/soak/FaultControl.java
+++ b/soak/src/main/java/loadbalancer/soak/FaultControl.java
@@ -128,7 +128,7 @@
     memory.putInt(rule, remaining);
   }
 
-  /** Returns the number of calls that the library has made fail or cut short. */
+  /** Returns how many calls of a kind the library has made fail or limited to a number of bytes. */
   public long injected(Call call) {
     return memory.getLong(ruleOffset(call) + INJECTED_OFFSET);
   }
--- a/soak/src/main/java/loadbalancer/soak/InvariantChecker.java
+++ b/soak/src/main/java/loadbalancer/soak/InvariantChecker.java
@@ -29,8 +29,11 @@
   /** Maximum excess of the remaining time that an attempt states over the actual one. */
   private static final long DEADLINE_SLACK_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
 
-  /** Budget below which a larger margin for random variation is allowed. */
-  private static final int SMALL_BUDGET = 30;
+  /**
+   * Number of allowed attempts in a slow start window below which a larger margin for random
+   * variation applies.
+   */
+  private static final int SMALL_ALLOWANCE = 30;
 
   /**
    * An overload is a violation only if more than this fraction of its attempts come from proxies
@@ -94,36 +97,44 @@
   }
 
   private void checkExecutions(RequestRecord request) {
-    List<Attempt> ran = attempts.of(request.traceId).stream().filter(Attempt::ran).toList();
-    if (request.kind.effect() == RequestKind.Effect.AT_MOST_ONCE && ran.size() > 1) {
+    List<Attempt> ranAttempts = attempts.of(request.traceId).stream().filter(Attempt::ran).toList();
+    if (request.kind.effect() == RequestKind.Effect.AT_MOST_ONCE && ranAttempts.size() > 1) {
       report(
-          Rule.DUPLICATE, ran.get(1).firstByteNanos(), request.traceId, ran.size() + " attempts");
+          Rule.DUPLICATE,
+          ranAttempts.get(1).firstByteNanos(),
+          request.traceId,
+          ranAttempts.size() + " attempts");
     }
     boolean rejected = request.status == 429 || request.status == 503;
-    if (request.kind.effect() == RequestKind.Effect.AT_MOST_ONCE && rejected && !ran.isEmpty()) {
+    if (request.kind.effect() == RequestKind.Effect.AT_MOST_ONCE
+        && rejected
+        && !ranAttempts.isEmpty()) {
       report(Rule.DUPLICATE, request.endNanos, request.traceId, "rejected, but may have run");
     }
-    if (request.kind.effect() == RequestKind.Effect.DEDUPLICATED && ran.size() > 1) {
-      checkDedupWindow(request, ran);
+    if (request.kind.effect() == RequestKind.Effect.DEDUPLICATED && ranAttempts.size() > 1) {
+      checkDedupWindow(request, ranAttempts);
     }
   }
 
-  private void checkDedupWindow(RequestRecord request, List<Attempt> ran) {
+  private void checkDedupWindow(RequestRecord request, List<Attempt> ranAttempts) {
     long window = TimeUnit.MILLISECONDS.toNanos(request.kind.dedupWindowMillis());
-    long age = ran.get(ran.size() - 1).firstByteNanos() - ran.get(0).lastByteNanos();
+    long age =
+        ranAttempts.get(ranAttempts.size() - 1).firstByteNanos()
+            - ranAttempts.get(0).lastByteNanos();
     if (age > window + SOCKET_SLACK_NANOS) {
-      report(Rule.DUPLICATE, ran.get(0).lastByteNanos() + age, request.traceId, "window over");
+      report(
+          Rule.DUPLICATE, ranAttempts.get(0).lastByteNanos() + age, request.traceId, "window over");
     }
   }
 
   private void checkAttempt(RequestRecord request, Attempt attempt) {
-    long drainedFrom =
-        notifications.drainedFromNanos(
+    long drainKnownFrom =
+        notifications.drainKnownFromNanos(
             request.proxy, attempt.endpoint(), attempt.startedUnixMillis());
     long grace = TimeUnit.MILLISECONDS.toNanos(deployment.drainGraceMillis());
-    if (drainedFrom != Long.MAX_VALUE
-        && attempt.firstByteNanos() > drainedFrom + grace + SOCKET_SLACK_NANOS) {
-      long after = TimeUnit.NANOSECONDS.toMillis(attempt.firstByteNanos() - drainedFrom);
+    if (drainKnownFrom != Long.MAX_VALUE
+        && attempt.firstByteNanos() > drainKnownFrom + grace + SOCKET_SLACK_NANOS) {
+      long after = TimeUnit.NANOSECONDS.toMillis(attempt.firstByteNanos() - drainKnownFrom);
       report(
           Rule.DRAINING_ENDPOINT,
           attempt.firstByteNanos(),
@@ -157,7 +168,7 @@
 
   // ---- Slow start ------------------------------------------------------------------------------
 
-  private void checkSlowStart(ToIntFunction<Attempt> proxyOf) {
+  private void checkSlowStart(ToIntFunction<Attempt> proxyIndexOf) {
     Map<String, List<Attempt>> byIncarnation = new TreeMap<>();
     for (List<Attempt> all : attempts.all()) {
       for (Attempt attempt : all) {
@@ -167,10 +178,11 @@
         }
       }
     }
-    byIncarnation.forEach((name, all) -> checkIncarnation(name, all, proxyOf));
+    byIncarnation.forEach((name, all) -> checkIncarnation(name, all, proxyIndexOf));
   }
 
-  private void checkIncarnation(String name, List<Attempt> all, ToIntFunction<Attempt> proxyOf) {
+  private void checkIncarnation(
+      String name, List<Attempt> all, ToIntFunction<Attempt> proxyIndexOf) {
     all.sort(Comparator.comparingLong(Attempt::lastByteNanos));
     long window = TimeUnit.MILLISECONDS.toNanos(deployment.overloadWindowMillis());
     int first = 0;
@@ -179,13 +191,13 @@
         first++;
       }
       List<Attempt> inWindow = all.subList(first, last + 1);
-      double budget = budget(all.get(last));
-      if (inWindow.size() > withMargin(budget) && isFromNotifiedProxies(inWindow, proxyOf)) {
+      double allowed = allowedAttempts(all.get(last));
+      if (inWindow.size() > withMargin(allowed) && isFromNotifiedProxies(inWindow, proxyIndexOf)) {
         report(
             Rule.SLOW_START,
             all.get(last).lastByteNanos(),
             all.get(last).traceId(),
-            name + " got " + inWindow.size() + " attempts, allowed: " + withMargin(budget));
+            name + " got " + inWindow.size() + " attempts, allowed: " + withMargin(allowed));
         return;
       }
     }
@@ -194,7 +206,7 @@
   /**
    * Returns the number of attempts that the settings allow in the window that ends with an attempt.
    */
-  private double budget(Attempt attempt) {
+  private double allowedAttempts(Attempt attempt) {
     long wallOffset = System.currentTimeMillis() - TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
     double ageMillis =
         TimeUnit.NANOSECONDS.toMillis(attempt.lastByteNanos())
@@ -212,20 +224,21 @@
         / TimeUnit.SECONDS.toMillis(1);
   }
 
-  private static double withMargin(double budget) {
-    return budget < SMALL_BUDGET
-        ? budget + 3 * Math.sqrt(budget) + 3
-        : budget + 2 * Math.sqrt(budget) + 2;
+  private static double withMargin(double allowed) {
+    return allowed < SMALL_ALLOWANCE
+        ? allowed + 3 * Math.sqrt(allowed) + 3
+        : allowed + 2 * Math.sqrt(allowed) + 2;
   }
 
-  private boolean isFromNotifiedProxies(List<Attempt> inWindow, ToIntFunction<Attempt> proxyOf) {
+  private boolean isFromNotifiedProxies(
+      List<Attempt> inWindow, ToIntFunction<Attempt> proxyIndexOf) {
     long notified =
         inWindow.stream()
             .filter(
                 attempt ->
                     attempt.firstByteNanos()
                         > notifications.startKnownFromNanos(
-                            proxyOf.applyAsInt(attempt),
+                            proxyIndexOf.applyAsInt(attempt),
                             attempt.endpoint(),
                             attempt.startedUnixMillis()))
             .count();
--- a/soak/src/main/java/loadbalancer/soak/NotificationLog.java
+++ b/soak/src/main/java/loadbalancer/soak/NotificationLog.java
@@ -34,7 +34,7 @@
    * Returns the time from which a proxy counts as notified that an incarnation of an endpoint takes
    * no new requests, or {@link Long#MAX_VALUE} if it was not notified.
    */
-  long drainedFromNanos(int proxy, String endpoint, long startedUnixMillis) {
+  long drainKnownFromNanos(int proxy, String endpoint, long startedUnixMillis) {
     long first = Long.MAX_VALUE;
     for (Notification notification : of(proxy)) {
       EndpointEntry entry = notification.entry();
--- a/soak/src/main/java/loadbalancer/soak/ProxyEventLog.java
+++ b/soak/src/main/java/loadbalancer/soak/ProxyEventLog.java
@@ -72,8 +72,9 @@
   }
 
   /**
-   * Returns whether SIGKILL interrupted the request. A SIGKILL that followed a SIGTERM does not
-   * count for a request that was sent more than 700 ms after that SIGTERM.
+   * Returns whether SIGKILL interrupted the request. A SIGKILL that ended a shutdown, at most 0.5 s
+   * after it was due, does not count for a request that was sent more than 700 ms after the
+   * SIGTERM.
    */
   @Override
   public synchronized boolean wasKilledDuring(long sentNanos, long endNanos) {
@@ -81,10 +82,10 @@
         .anyMatch(
             kill ->
                 kill.overlaps(sentNanos - MAX_CLOCK_DELAY_NANOS, endNanos)
-                    && !isResponseRequired(sentNanos, kill.fromNanos()));
+                    && !isResponseRequiredDespiteKill(sentNanos, kill.fromNanos()));
   }
 
-  private boolean isResponseRequired(long sentNanos, long killNanos) {
+  private boolean isResponseRequiredDespiteKill(long sentNanos, long killNanos) {
     return terminations.stream()
         .anyMatch(
             term ->
--- a/soak/src/test/java/loadbalancer/soak/AcceptFailureTest.java
+++ b/soak/src/test/java/loadbalancer/soak/AcceptFailureTest.java
@@ -14,7 +14,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Tests that clients are served although {@code accept} fails temporarily. */
+/**
+ * Tests that clients are served although {@code accept} fails temporarily, that the time that they
+ * wait to be accepted counts towards their deadline, and that the proxy does not retry in a busy
+ * loop.
+ */
 class AcceptFailureTest {
 
   private static final int CLIENTS = 4;
--- a/soak/src/test/java/loadbalancer/soak/InvariantCheckerTest.java
+++ b/soak/src/test/java/loadbalancer/soak/InvariantCheckerTest.java
@@ -41,7 +41,7 @@
 
   /** Returns a request that was served in 20 ms, modified by the change. */
   private RequestRecord request(String kind, Consumer<RequestRecord> change) {
-    RequestRecord request = new RequestRecord("t", deployment.kind(kind), 0, 1, 1000);
+    RequestRecord request = new RequestRecord("t", deployment.requestKind(kind), 0, 1, 1000);
     request.sentNanos = SENT_NANOS;
     request.endNanos = SENT_NANOS + 20 * MILLI_NANOS;
     request.outcome = Outcome.RESPONSE;
@@ -145,7 +145,7 @@
     List<RequestRecord> requests = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       RequestRecord request =
-          new RequestRecord(count + "-" + i, deployment.kind("read"), 0, 1, 1000);
+          new RequestRecord(count + "-" + i, deployment.requestKind("read"), 0, 1, 1000);
       request.sentNanos = SENT_NANOS;
       request.endNanos = SENT_NANOS + 20 * MILLI_NANOS;
       request.outcome = Outcome.RESPONSE;
--- a/soak/src/test/java/loadbalancer/soak/PipelineTest.java
+++ b/soak/src/test/java/loadbalancer/soak/PipelineTest.java
@@ -28,7 +28,7 @@
     try (SingleProxy proxy = new SingleProxy(folder, deployment, 0, 0).start();
         ClientConnection client = proxy.connect()) {
       proxy.upstreams.forEach(upstream -> upstream.setMode(FakeUpstream.Mode.HANGING));
-      RequestKind publish = deployment.kind("publish");
+      RequestKind publish = deployment.requestKind("publish");
       String first = new RequestRecord("first", publish, 0, 0, publish.deadlineMillis()).toHttp();
       long sentNanos = System.nanoTime();
       client.write(first + SingleProxy.readRequest("second", SHORT_DEADLINE_MILLIS));
