--- a/src/main/java/loadbalancer/proxy/ConfigurationFile.java
+++ b/src/main/java/loadbalancer/proxy/ConfigurationFile.java
@@ -13,7 +13,8 @@
    * Reads the file that the environment names.
    *
    * @throws IOException if it cannot be read
-   * @throws loadbalancer.config.ConfigurationException if its content is invalid
+   * @throws loadbalancer.config.ConfigurationException if no file is named or its content is
+   *     invalid
    */
   static BalancerConfig read(Map<String, String> environment) throws IOException {
     return TransientFailures.retry(
--- a/src/main/java/loadbalancer/proxy/ProxiedAttempt.java
+++ b/src/main/java/loadbalancer/proxy/ProxiedAttempt.java
@@ -10,7 +10,7 @@
   private final int index;
   private final long startedAtNanos;
   private UpstreamCall call;
-  private AttemptStatus status;
+  private AttemptStatus endStatus;
   private long latencyNanos;
 
   /**
@@ -29,8 +29,8 @@
   }
 
   /** Records how the attempt ended. */
-  void recordEnd(AttemptStatus status, long nowNanos) {
-    this.status = status;
+  void recordEnd(AttemptStatus endStatus, long nowNanos) {
+    this.endStatus = endStatus;
     latencyNanos = nowNanos - startedAtNanos;
   }
 
@@ -47,17 +47,17 @@
    * still arrive.
    */
   boolean mayGetUpstreamResponse() {
-    return status == null ? call.isWritten() : status == AttemptStatus.SUCCESS;
+    return endStatus == null ? call.isWritten() : endStatus == AttemptStatus.SUCCESS;
   }
 
   /** Returns whether the endpoint may have run the request, as far as is known now. */
   boolean mayHaveRun() {
-    return status == null ? call.isWritten() : !status.provesNotRun();
+    return endStatus == null ? call.isWritten() : !endStatus.provesNotRun();
   }
 
   /** Returns whether the endpoint has certainly not run the request and will not run it. */
   boolean isProvenNotRun() {
-    return status != null && status.provesNotRun();
+    return endStatus != null && endStatus.provesNotRun();
   }
 
   @Override
@@ -72,7 +72,7 @@
 
   @Override
   public AttemptStatus status() {
-    return status;
+    return endStatus;
   }
 
   @Override
--- a/src/main/java/loadbalancer/proxy/ProxyComponents.java
+++ b/src/main/java/loadbalancer/proxy/ProxyComponents.java
@@ -87,7 +87,8 @@
      * Limits the resources that the proxy uses.
      *
      * @param maxDescriptors maximum number of file descriptors of the process
-     * @param maxBodyBytes maximum total size of the request bodies that are held at one time
+     * @param maxBodyBytes limit on the memory that request bodies and the heads of queued requests
+     *     take together
      */
     Builder limits(int maxDescriptors, long maxBodyBytes) {
       this.maxDescriptors = maxDescriptors;
--- a/src/main/java/loadbalancer/proxy/WarmUp.java
+++ b/src/main/java/loadbalancer/proxy/WarmUp.java
@@ -123,9 +123,9 @@
       group.execute(() -> start(group, settings, client));
       done.awaitUninterruptibly(maxMillis);
     } finally {
-      // The clients are stopped first; otherwise they would keep sending to closed endpoints and
+      // Sending is stopped first; otherwise the client would keep sending to closed endpoints and
       // delay the start.
-      group.submit(client::stop).syncUninterruptibly();
+      group.submit(client::stopSending).syncUninterruptibly();
       group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
     }
     return client.result();
--- a/src/main/java/loadbalancer/proxy/WarmUpClient.java
+++ b/src/main/java/loadbalancer/proxy/WarmUpClient.java
@@ -52,7 +52,7 @@
   }
 
   /** Stops sending requests. */
-  void stop() {
+  void stopSending() {
     isStopped = true;
   }
 
--- a/src/test/java/loadbalancer/proxy/AgentWatchTest.java
+++ b/src/test/java/loadbalancer/proxy/AgentWatchTest.java
@@ -32,7 +32,7 @@
  * it, whether or not a watch is open.
  */
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
-@SuppressWarnings("try") // The proxy is not accessed; it only has to run.
+@SuppressWarnings("try") // Some tests do not access the proxy; it only has to run.
 class AgentWatchTest {
 
   private static final long GRACE_MILLIS = 300;
@@ -157,7 +157,7 @@
    * Every later watch lists only the first of them.
    */
   private static FakeServer discoveryOmitting(
-      String remainingMember, String omittedMember, CountDownLatch endFirstWatch)
+      String remainingMember, String omittedMember, CountDownLatch firstWatchEndRequested)
       throws IOException {
     AtomicInteger watchCount = new AtomicInteger();
     return new FakeServer(
@@ -167,7 +167,7 @@
             c.write(
                 DiscoveryMessages.watchResponse(
                     ProxyFixture.endpointListJson(2, true, remainingMember, omittedMember)));
-            endFirstWatch.await();
+            firstWatchEndRequested.await();
           } else {
             c.write(
                 DiscoveryMessages.watchResponse(
@@ -191,14 +191,14 @@
    */
   @Test
   void sendsNothingToAnEndpointThatACompleteListOmits() throws Exception {
-    CountDownLatch endFirstWatch = new CountDownLatch(1);
+    CountDownLatch firstWatchEndRequested = new CountDownLatch(1);
     try (FakeServer omitted = FakeServer.respondingWith(FakeServer.ok("leaving"));
         FakeServer remaining = FakeServer.respondingWith(FakeServer.ok("staying"));
         FakeServer discovery =
             discoveryOmitting(
                 ProxyFixture.endpointJson("s-stays", remaining.address(), "ready"),
                 ProxyFixture.endpointJson("s-leaves", omitted.address(), "ready"),
-                endFirstWatch)) {
+                firstWatchEndRequested)) {
       BalancerConfig config =
           pushedConfig(
               discovery, ProxyFixture.endpointJson("s-leaves", omitted.address(), "ready"));
@@ -219,7 +219,7 @@
         for (int i = 0; omitted.requests.isEmpty() || remaining.requests.isEmpty(); i++) {
           client.exchange(ProxyFixture.get("t" + i, "Cookie: sid=" + i + "\r\n"));
         }
-        endFirstWatch.countDown();
+        firstWatchEndRequested.countDown();
         assertEquals(
             1, updates.poll(ProxyFixture.TIMEOUT_SECONDS, TimeUnit.SECONDS).endpoints().size());
         omitted.requests.clear();
--- a/src/test/java/loadbalancer/proxy/BrokenConnectionTest.java
+++ b/src/test/java/loadbalancer/proxy/BrokenConnectionTest.java
@@ -90,7 +90,7 @@
   @Test
   void replacesAConnectionThatWasResetWhileIdle() throws Exception {
     ScriptedEngine engine = new ScriptedEngine(LONG_TIMEOUT_NANOS);
-    CountDownLatch resetAllowed = new CountDownLatch(1);
+    CountDownLatch resetRequested = new CountDownLatch(1);
     AtomicInteger connections = new AtomicInteger();
     try (FakeServer upstream =
             new FakeServer(
@@ -101,7 +101,7 @@
                       request = c.readRequest()) {
                     c.write(FakeServer.ok("x"));
                     if (isFirst) {
-                      resetAllowed.await();
+                      resetRequested.await();
                       c.reset();
                       return;
                     }
@@ -112,7 +112,7 @@
       assertTrue(client.exchange(ProxyFixture.get("t1", "")).startsWith("HTTP/1.1 200 "));
       Thread.sleep(50); // The upstream connection is reusable by then.
       FakeServer.Connection idleConnection = upstream.connections.take();
-      resetAllowed.countDown();
+      resetRequested.countDown();
       assertTrue(idleConnection.awaitScriptEnd());
       assertTrue(client.exchange(ProxyFixture.get("t2", "")).startsWith("HTTP/1.1 200 "));
       for (int i = 0; i < 2; i++) {
--- a/src/test/java/loadbalancer/proxy/ConnectionCloseTest.java
+++ b/src/test/java/loadbalancer/proxy/ConnectionCloseTest.java
@@ -263,8 +263,8 @@
             c.write(FakeServer.ok(isFirst ? "first" : "second"));
             if (isFirst) {
               trigger.await();
-              // On the thread that reads: the reset is sent when this thread has closed the socket,
-              // not before.
+              // This thread also reads the socket: a close by another one would delay the reset
+              // until the read call had returned.
               lateInput.script.run(c);
               done.countDown();
             }
--- a/src/test/java/loadbalancer/proxy/GracefulShutdownTest.java
+++ b/src/test/java/loadbalancer/proxy/GracefulShutdownTest.java
@@ -146,7 +146,10 @@
     abstract Client perform(ProxyFixture proxy, Client open) throws IOException;
   }
 
-  /** The client must get a response instead of a reset or an error for an incomplete request. */
+  /**
+   * The operation is performed while a request is unread in the kernel. The client that sent it
+   * must get a response instead of a reset or an error for an incomplete request.
+   */
   @ParameterizedTest
   @EnumSource(ConcurrentOperation.class)
   void respondsToARequestThatIsInTheKernel(ConcurrentOperation operation) throws Exception {
--- a/src/test/java/loadbalancer/proxy/LargeFleetIT.java
+++ b/src/test/java/loadbalancer/proxy/LargeFleetIT.java
@@ -155,12 +155,12 @@
   }
 
   /** Returns an upstream that responds once the latch has reached zero. */
-  private static FakeServer upstreamRespondingAfter(CountDownLatch responseAllowed)
+  private static FakeServer upstreamRespondingAfter(CountDownLatch responseReleased)
       throws IOException {
     return new FakeServer(
         connection -> {
           while (connection.readRequest() != null) {
-            responseAllowed.await();
+            responseReleased.await();
             connection.write(FakeServer.ok("slow"));
           }
         });
@@ -170,14 +170,15 @@
    * Returns a discovery server that resets every connection until it is up, and then lists one
    * endpoint.
    */
-  private static FakeServer discovery(AtomicBoolean isUp, FakeServer listed) throws IOException {
+  private static FakeServer discovery(AtomicBoolean isUp, FakeServer listedUpstream)
+      throws IOException {
     return new FakeServer(
         connection -> {
           if (!isUp.get()) {
             connection.reset();
           }
           connection.readRequest();
-          String member = ProxyFixture.endpointJson("s-listed", listed.address(), "ready");
+          String member = ProxyFixture.endpointJson("s-listed", listedUpstream.address(), "ready");
           connection.write(
               DiscoveryMessages.watchResponse(ProxyFixture.endpointListJson(42, true, member)));
           connection.awaitClose();
@@ -205,10 +206,10 @@
    * Opens more connections than the proxy has descriptors, and gets a response on each. They stay
    * open on this side, so the proxy has to close some.
    */
-  private static void connectIdle(int port, List<Socket> idle) throws IOException {
+  private static void connectIdle(int port, List<Socket> idleClients) throws IOException {
     for (int i = 0; i < 500; i++) {
       Socket client = new Socket(InetAddress.getLoopbackAddress(), port);
-      idle.add(client);
+      idleClients.add(client);
       String response = exchange(client, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
       assertNotNull(response, "a new client gets its response");
     }
@@ -235,18 +236,18 @@
   }
 
   /**
-   * Idle clients use up the descriptors while discovery is down. Open requests get their responses,
-   * new ones are served, discovery is reached again when it is back, and there is no busy loop.
+   * Idle clients use up the descriptors while discovery is down. Requests in flight and new ones
+   * get final responses, discovery is reached again when it is back, and there is no busy loop.
    */
   @Test
   void servesAndFindsDiscoveryWhenIdleClientsFillTheDescriptors() throws Exception {
     AtomicBoolean isUp = new AtomicBoolean();
-    CountDownLatch responseAllowed = new CountDownLatch(1);
-    List<Socket> idle = new ArrayList<>();
-    try (FakeServer slow = upstreamRespondingAfter(responseAllowed);
+    CountDownLatch responseReleased = new CountDownLatch(1);
+    List<Socket> idleClients = new ArrayList<>();
+    try (FakeServer slow = upstreamRespondingAfter(responseReleased);
         FakeServer known = FakeServer.respondingWith(FakeServer.ok("known"));
-        FakeServer listed = FakeServer.respondingWith(FakeServer.ok("listed"));
-        FakeServer discovery = discovery(isUp, listed)) {
+        FakeServer listedUpstream = FakeServer.respondingWith(FakeServer.ok("listed"));
+        FakeServer discovery = discovery(isUp, listedUpstream)) {
       String members =
           ProxyFixture.endpointListJson(
               41,
@@ -256,7 +257,7 @@
       int port =
           start(ProxyFixture.configText(discovery.address(), members, "pushed", 200, 256, ""), 256);
       List<Socket> open = openRequests(port, slow);
-      connectIdle(port, idle);
+      connectIdle(port, idleClients);
       assertTrue(
           exchangeOnNewConnection(port, "while-down").startsWith("HTTP/1.1 "),
           "a new request gets a final response");
@@ -265,16 +266,16 @@
       while (!log().contains("discovery_recovered")) {
         Thread.sleep(10);
       }
-      while (listed.requests.isEmpty()) {
+      while (listedUpstream.requests.isEmpty()) {
         exchangeOnNewConnection(port, "when-back" + System.nanoTime());
         Thread.sleep(10);
       }
-      responseAllowed.countDown();
+      responseReleased.countDown();
       assertResponses(open);
       assertTrue(process.isAlive(), log());
       assertFalse(log().contains("Too many open files"), log());
     } finally {
-      for (Socket client : idle) {
+      for (Socket client : idleClients) {
         client.close();
       }
     }
--- a/src/test/java/loadbalancer/proxy/ReloadOrderTest.java
+++ b/src/test/java/loadbalancer/proxy/ReloadOrderTest.java
@@ -114,17 +114,17 @@
   }
 
   /**
-   * Returns an agent that sends one list, resets the watch when {@code resetAllowed} reaches zero,
-   * and then counts down {@code resetDone}.
+   * Returns an agent that sends one list, resets the watch when {@code resetRequested} reaches
+   * zero, and then counts down {@code resetDone}.
    */
-  private static FakeServer resettingAgent(CountDownLatch resetAllowed, CountDownLatch resetDone)
+  private static FakeServer resettingAgent(CountDownLatch resetRequested, CountDownLatch resetDone)
       throws IOException {
     return new FakeServer(
         connection -> {
           connection.readRequest();
           connection.write(
               DiscoveryMessages.watchResponse(ProxyFixture.endpointListJson(2, true, READY)));
-          resetAllowed.await();
+          resetRequested.await();
           connection.reset();
           resetDone.countDown();
         });
@@ -135,10 +135,10 @@
   @ValueSource(booleans = {true, false})
   void keepsOneWatchWhenTheOldAgentResetsItInTheTurnOfTheReload(boolean resetFirst)
       throws Exception {
-    CountDownLatch resetAllowed = new CountDownLatch(1);
+    CountDownLatch resetRequested = new CountDownLatch(1);
     CountDownLatch resetDone = new CountDownLatch(1);
     ScriptedEngine engine = steps.engine("s-1", 0);
-    try (FakeServer oldAgent = resettingAgent(resetAllowed, resetDone);
+    try (FakeServer oldAgent = resettingAgent(resetRequested, resetDone);
         FakeServer newAgent = agent(ProxyFixture.endpointListJson(3, true, READY, OTHER_DRAINING));
         ProxyFixture proxy =
             new ProxyFixture(
@@ -150,12 +150,12 @@
       steps.add(
           actions -> {
             if (resetFirst) {
-              resetAllowed.countDown();
+              resetRequested.countDown();
               await(resetDone); // The trigger is read in the turn of the reset, and handled later.
               write(secondTrigger, ProxyFixture.get("second", EventLoopStepQueue.TRIGGER_HEADER));
             } else {
               reload(proxy, newAgent);
-              resetAllowed.countDown();
+              resetRequested.countDown();
               await(resetDone);
             }
           });
--- a/src/test/java/loadbalancer/proxy/RemainingTimeTest.java
+++ b/src/test/java/loadbalancer/proxy/RemainingTimeTest.java
@@ -165,12 +165,12 @@
    */
   @Test
   void countsTheTimeThatPipelinedRequestsWaitForTheirTurn() throws Exception {
-    CountDownLatch responseAllowed = new CountDownLatch(1);
+    CountDownLatch responseReleased = new CountDownLatch(1);
     try (FakeServer upstream =
             new FakeServer(
                 c -> {
                   while (c.readRequest() != null) {
-                    responseAllowed.await();
+                    responseReleased.await();
                     c.write(FakeServer.ok("x"));
                   }
                 });
@@ -186,7 +186,7 @@
       long startNanos = System.nanoTime(); // All three have arrived: they are one small write.
       Thread.sleep(400); // The test depends on the elapsed time.
       long elapsed = millisSince(startNanos);
-      responseAllowed.countDown();
+      responseReleased.countDown();
       assertTrue(client.readResponse().startsWith("HTTP/1.1 200 "));
       String expired = client.readResponse();
       assertTrue(expired.startsWith("HTTP/1.1 50") || expired.startsWith("HTTP/1.1 429 "), expired);
--- a/src/test/java/loadbalancer/proxy/RequestDispatcherTest.java
+++ b/src/test/java/loadbalancer/proxy/RequestDispatcherTest.java
@@ -101,15 +101,19 @@
               }
             });
     try (ProxyFixture proxy = new ProxyFixture(noEndpointsConfig(), engine);
-        Client held = proxy.client();
-        Client bad = proxy.client()) {
-      held.write(ProxyFixture.get("held", ""));
+        Client heldClient = proxy.client();
+        Client failingClient = proxy.client()) {
+      heldClient.write(ProxyFixture.get("held", ""));
       engine.awaitEvent(RequestArrived.class);
       assertTrue(
-          bad.exchange(ProxyFixture.get("t", "X-Customer: bad\r\n")).startsWith("HTTP/1.1 500 "));
-      assertTrue(held.readResponse().startsWith("HTTP/1.1 500 "));
+          failingClient
+              .exchange(ProxyFixture.get("t", "X-Customer: bad\r\n"))
+              .startsWith("HTTP/1.1 500 "));
+      assertTrue(heldClient.readResponse().startsWith("HTTP/1.1 500 "));
       assertTrue(
-          bad.exchange(ProxyFixture.get("t2", "X-Customer: good\r\n")).startsWith("HTTP/1.1 429 "));
+          failingClient
+              .exchange(ProxyFixture.get("t2", "X-Customer: good\r\n"))
+              .startsWith("HTTP/1.1 429 "));
     }
   }
 
--- a/src/test/java/loadbalancer/proxy/StartupTest.java
+++ b/src/test/java/loadbalancer/proxy/StartupTest.java
@@ -126,7 +126,7 @@
                       ProxyFixture.endpointListJson(2, false, DRAINING)));
               connection.awaitClose();
             })) {
-      ProxyServer server =
+      ProxyServer proxy =
           ProxyServer.prepare(
               pushedConfig(discovery),
               generation -> engine,
@@ -135,7 +135,7 @@
       assertEquals(UpdateKind.CACHED, engine.awaitEvent(EndpointListUpdate.class).kind());
       EndpointListUpdate update = engine.awaitEvent(EndpointListUpdate.class);
       assertEquals(EndpointState.DRAINING, update.endpoints().get(0).state());
-      server.shutDownNow();
+      proxy.shutDownNow();
     }
     assertFalse(isPreparedEarly.get(), "ready before the list arrived");
   }
@@ -153,13 +153,13 @@
               connection.readRequest();
               connection.awaitClose();
             })) {
-      ProxyServer server = ProxyServer.prepare(pushedConfig(discovery), generation -> engine, 100);
-      server.listen();
-      try (Client client = new Client(server)) {
+      ProxyServer proxy = ProxyServer.prepare(pushedConfig(discovery), generation -> engine, 100);
+      proxy.listen();
+      try (Client client = new Client(proxy)) {
         String health = client.exchange("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
         assertTrue(health.startsWith("HTTP/1.1 200 "));
       } finally {
-        server.shutDownNow();
+        proxy.shutDownNow();
       }
     }
   }
