--- a/src/main/java/loadbalancer/downstream/BodyBudget.java
+++ b/src/main/java/loadbalancer/downstream/BodyBudget.java
@@ -20,7 +20,7 @@
    *
    * @throws TooLongHttpContentException if the budget is exceeded
    */
-  void reserve(int bytes) {
+  void addReceived(int bytes) {
     usedBytes += bytes;
     if (usedBytes > maxBytes) {
       throw new TooLongHttpContentException("request bodies exceed " + maxBytes + " bytes in all");
--- a/src/main/java/loadbalancer/downstream/ClientConnection.java
+++ b/src/main/java/loadbalancer/downstream/ClientConnection.java
@@ -100,7 +100,10 @@
     input.readBacklog();
   }
 
-  /** Starts the time limit of a request once its first bytes have been decoded. */
+  /**
+   * Starts the time limit of a request that has begun to arrive on an idle connection. Called after
+   * any bytes have been decoded.
+   */
   void bytesDecoded() {
     if (input.hasPartialRequest() && connections.isIn(State.IDLE, this)) {
       connections.setState(this, State.READING);
@@ -223,7 +226,7 @@
     }
   }
 
-  /** Reads all pending input, which may start the serving of a request. */
+  /** Reads pending input, up to a limit. This may start the serving of a request. */
   void readPending() {
     input.readPending();
   }
@@ -246,8 +249,8 @@
     input.requestCompleted();
     currentBodyBytes = request.content().readableBytes();
     connections.setState(this, State.SERVING);
-    // A client would take the body of the error response to HEAD for the next response, so that the
-    // connection is closed after it.
+    // Even the response to HEAD has a body. A client would take that for the start of the next
+    // response, so the connection is closed after it.
     keepAlive = HttpUtil.isKeepAlive(request) && !request.method().equals(HttpMethod.HEAD);
     RoutingResult result = router.route(request, arrivedAtNanos, this, halfClosed);
     if (result instanceof DownstreamRequest accepted) {
@@ -266,7 +269,8 @@
   public boolean isResponseAwaited() {
     readPending();
     if (!channel.isActive()) {
-      // After a reset, Netty calls channelInactive only once the current event has been handled.
+      // After a reset, Netty calls channelInactive only in a later task of the event loop, so the
+      // handler is notified here.
       notifyDisconnected();
     }
     return currentRequest != null && !halfClosed;
--- a/src/main/java/loadbalancer/downstream/ClientInput.java
+++ b/src/main/java/loadbalancer/downstream/ClientInput.java
@@ -26,8 +26,8 @@
   private boolean partialRequest;
 
   /**
-   * True if further input is not decoded, because it follows an error or exceeds a limit, or
-   * because the input has ended.
+   * True if further input is read but not decoded: after an error, an exceeded limit, the end of
+   * the input or the last response.
    */
   private boolean discarded;
 
@@ -98,7 +98,7 @@
   }
 
   /**
-   * Reads the input that arrived while the connection waited to be accepted, if it had to wait.
+   * If the connection had to wait because accepting failed, reads the input that arrived meanwhile.
    * This input may have waited as long as the connection; later input has not.
    */
   void readBacklog() {
--- a/src/main/java/loadbalancer/downstream/DownstreamListener.java
+++ b/src/main/java/loadbalancer/downstream/DownstreamListener.java
@@ -65,7 +65,7 @@
   /** Binds to an address and starts to accept clients. May be called again if binding fails. */
   public ChannelFuture listen(ServerBootstrap bootstrap, SocketAddress address) {
     acceptRetry = new AcceptRetryHandler();
-    ChannelFuture bound =
+    ChannelFuture bindFuture =
         bootstrap
             .clone()
             .handler(acceptRetry)
@@ -77,13 +77,13 @@
                   }
                 })
             .bind(address);
-    bound.addListener(future -> bindFinished(bound, future.isSuccess()));
-    return bound;
+    bindFuture.addListener(future -> bindFinished(bindFuture, future.isSuccess()));
+    return bindFuture;
   }
 
-  private void bindFinished(ChannelFuture bound, boolean success) {
+  private void bindFinished(ChannelFuture bindFuture, boolean success) {
     if (success) {
-      serverChannel = bound.channel();
+      serverChannel = bindFuture.channel();
       serverChannel
           .eventLoop()
           .scheduleWithFixedDelay(
@@ -113,22 +113,22 @@
   }
 
   private void stopAccepting(int checksLeft) {
-    int nextChecks = acceptPending() ? checksLeft - 1 : EMPTY_QUEUE_CHECKS;
-    if (nextChecks == 0) {
+    int nextChecksLeft = acceptPending() ? checksLeft - 1 : EMPTY_QUEUE_CHECKS;
+    if (nextChecksLeft == 0) {
       serverChannel.close();
       return;
     }
     serverChannel
         .eventLoop()
         .schedule(
-            () -> stopAccepting(nextChecks),
+            () -> stopAccepting(nextChecksLeft),
             AcceptRetryHandler.RETRY_DELAY_MILLIS,
             TimeUnit.MILLISECONDS);
   }
 
   /**
-   * Accepts the connections in the kernel's accept queue. Returns false if accepting failed, so
-   * that more may be queued.
+   * Accepts the connections in the kernel's accept queue. Returns false if accepting failed; more
+   * connections may then still be queued.
    */
   private boolean acceptPending() {
     long failuresBefore = acceptRetry.failureCount();
--- a/src/main/java/loadbalancer/downstream/ListenerState.java
+++ b/src/main/java/loadbalancer/downstream/ListenerState.java
@@ -21,7 +21,9 @@
     closingConnections = true;
   }
 
-  /** Returns whether the listener is ready and not draining, so that health checks may succeed. */
+  /**
+   * Returns whether the listener is ready and not draining; only then can health checks succeed.
+   */
   boolean isServing() {
     return ready && !draining;
   }
--- a/src/main/java/loadbalancer/downstream/PipelinedRequests.java
+++ b/src/main/java/loadbalancer/downstream/PipelinedRequests.java
@@ -25,7 +25,8 @@
    * A queued request, whose timeout runs from its arrival.
    *
    * @param deadlineNanos clock reading at which the timeout ends
-   * @param headBytes bytes that its head counts against the budget; 0 if there was no room for it
+   * @param headBytes bytes that its head counts against the budget; 0 if the request was queued
+   *     only to get an error response
    */
   record QueuedRequest(
       FullHttpRequest request, long arrivedAtNanos, long deadlineNanos, long headBytes) {}
--- a/src/main/java/loadbalancer/downstream/RequestAggregator.java
+++ b/src/main/java/loadbalancer/downstream/RequestAggregator.java
@@ -29,7 +29,7 @@
 
   private final BodyBudget budget;
   private final BooleanSupplier responsePending;
-  private long reservedBytes;
+  private long countedBytes;
 
   /**
    * Creates the aggregator of one connection.
@@ -66,29 +66,29 @@
 
   @Override
   protected FullHttpMessage beginAggregation(HttpMessage start, ByteBuf content) throws Exception {
-    reserve(content.readableBytes());
+    countReceived(content.readableBytes());
     return super.beginAggregation(start, content);
   }
 
   @Override
   protected void aggregate(FullHttpMessage aggregated, HttpContent content) throws Exception {
-    reserve(content.content().readableBytes());
+    countReceived(content.content().readableBytes());
     super.aggregate(aggregated, content);
   }
 
-  private void reserve(int bytes) {
-    reservedBytes += bytes;
-    budget.reserve(bytes);
+  private void countReceived(int bytes) {
+    countedBytes += bytes;
+    budget.addReceived(bytes);
   }
 
   /** Returns the bytes of a request body that is no longer in memory to the budget. */
   void release(long bytes) {
-    reservedBytes -= bytes;
+    countedBytes -= bytes;
     budget.release(bytes);
   }
 
-  /** Returns all bytes of the connection to the budget. */
+  /** Returns the bytes of all request bodies of the connection to the budget. */
   void releaseAll() {
-    release(reservedBytes);
+    release(countedBytes);
   }
 }
--- a/src/main/java/loadbalancer/downstream/RequestHandler.java
+++ b/src/main/java/loadbalancer/downstream/RequestHandler.java
@@ -9,8 +9,8 @@
   void accept(DownstreamRequest request);
 
   /**
-   * Notifies the handler that the client of a request without a response has closed its connection,
-   * so that no response is owed any more.
+   * Notifies the handler that the client of a request without a response has closed its connection.
+   * The client needs no response any more.
    */
   void clientDisconnected(String traceId);
 
--- a/src/main/java/loadbalancer/downstream/ResponseSink.java
+++ b/src/main/java/loadbalancer/downstream/ResponseSink.java
@@ -18,7 +18,7 @@
 
   /**
    * Returns whether the response is still awaited: it has not been sent, and the client has neither
-   * disconnected nor half-closed its connection. All input that has arrived is read first.
+   * disconnected nor half-closed its connection. Pending input is read first, up to a limit.
    */
   boolean isResponseAwaited();
 }
--- a/src/test/java/loadbalancer/DecisionModulesTest.java
+++ b/src/test/java/loadbalancer/DecisionModulesTest.java
@@ -16,7 +16,7 @@
 
 /**
  * Checks that the decision logic is divided into modules with one responsibility each, and that the
- * deploy file lists them.
+ * deploy file, {@code deploy/balancer.toml}, lists them.
  */
 class DecisionModulesTest {
 
--- a/src/test/java/loadbalancer/DeploymentTest.java
+++ b/src/test/java/loadbalancer/DeploymentTest.java
@@ -17,8 +17,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Tests the {@code run} command of the deploy file. A stub takes the place of the Java virtual
- * machine and prints its process statistics and arguments.
+ * Tests the {@code run} command of {@code deploy/balancer.toml}. A stub takes the place of {@code
+ * java} and prints its arguments and {@code /proc/self/stat}, which contains its process id and the
+ * page faults of its children.
  */
 class DeploymentTest {
 
--- a/src/test/java/loadbalancer/downstream/ClientDisconnectTest.java
+++ b/src/test/java/loadbalancer/downstream/ClientDisconnectTest.java
@@ -23,8 +23,8 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Tests clients that disconnect while their request is queued, or while the engine starts an
- * attempt.
+ * Tests clients that disconnect while their request waits for an attempt, or while the engine
+ * starts an attempt.
  */
 @Timeout(value = 2 * ProxyFixture.TIMEOUT_SECONDS, unit = TimeUnit.SECONDS)
 class ClientDisconnectTest {
@@ -36,7 +36,7 @@
    * instead.
    */
   @Test
-  void reportsDisconnectOfAClientWhoseRequestIsQueued() throws Exception {
+  void reportsDisconnectOfAClientWhoseRequestHasNoAttempt() throws Exception {
     ScriptedEngine engine = new ScriptedEngine((event, actions) -> {});
     try (FakeServer upstream = FakeServer.respondingWith(FakeServer.ok("x"));
         ProxyFixture proxy = new ProxyFixture(DownstreamFixture.config(upstream), engine)) {
--- a/src/test/java/loadbalancer/downstream/MisbehavingClientTest.java
+++ b/src/test/java/loadbalancer/downstream/MisbehavingClientTest.java
@@ -172,8 +172,9 @@
             200,
             1024,
             "");
-    String configWithTenants = configText.replace("\"settings\":{", "\"settings\":{" + TENANTS);
-    try (ProxyFixture proxy = new ProxyFixture(BalancerConfig.parse(configWithTenants, Map.of()));
+    String configTextWithTenants = configText.replace("\"settings\":{", "\"settings\":{" + TENANTS);
+    try (ProxyFixture proxy =
+            new ProxyFixture(BalancerConfig.parse(configTextWithTenants, Map.of()));
         Client client = proxy.client()) {
       String unknownTenant = ProxyFixture.get("t", "X-Customer: nobody\r\n");
       assertTrue(client.exchange(unknownTenant).startsWith("HTTP/1.1 400 "));
@@ -249,9 +250,9 @@
             200,
             1024,
             "");
-    String configWithSmallBudget = configText.replace("\"memory_mb\":192", "\"memory_mb\":1");
+    String configTextWithSmallBudget = configText.replace("\"memory_mb\":192", "\"memory_mb\":1");
     try (ProxyFixture proxy =
-            new ProxyFixture(BalancerConfig.parse(configWithSmallBudget, Map.of()));
+            new ProxyFixture(BalancerConfig.parse(configTextWithSmallBudget, Map.of()));
         Client firstClient = proxy.client();
         Client secondClient = proxy.client()) {
       String request = ProxyFixture.post("t", "Idempotency-Key: k\r\n", "x".repeat(60_000));
@@ -267,8 +268,8 @@
   }
 
   /**
-   * Returns a server that responds to its first request once it is signaled, and then waits until
-   * the connection is closed.
+   * Returns a server that responds with this body to the first request of each connection once it
+   * is signaled, and then waits until the connection is closed.
    */
   private static FakeServer respondingOnce(String body, CountDownLatch signal) throws IOException {
     return new FakeServer(
